--- a/packages/admission/src/acaciayard_admission/_local.py
+++ b/packages/admission/src/acaciayard_admission/_local.py
@@ -350,7 +350,7 @@
         body = b""
         end = End()
         is_whole = 0 <= length <= LARGEST_WHOLE_BODY
-        if is_whole or (self._dialect.seal and head.framing is Framing.UNTIL_CLOSE):
+        if is_whole or (self._dialect.response_signature and head.framing is Framing.UNTIL_CLOSE):
             # Where the end of the connection ends the body, only a reset tells a cut one from a
             # whole one; it is read to its end here, so that a cut one is not passed on at all.
             body, end = await self._read_whole()
--- a/packages/admission/src/acaciayard_admission/_target_answers.py
+++ b/packages/admission/src/acaciayard_admission/_target_answers.py
@@ -46,9 +46,11 @@
 
 def fault_in(head: ResponseHead, call: Call, dialect: Dialect) -> str:
     """Why an answer cannot be passed on, empty when it can."""
-    if dialect.seal and head.status < 300:
-        if not first_header(head.headers, dialect.seal):
-            return f"the target answered {head.status} without {dialect.seal.decode()}"
+    if dialect.response_signature and head.status < 300:
+        if not first_header(head.headers, dialect.response_signature):
+            return (
+                f"the target answered {head.status} without {dialect.response_signature.decode()}"
+            )
         if dialect.request_id and not first_header(head.headers, dialect.request_id):
             return f"the target answered {head.status} without saying to which request"
         if first_header(head.headers, b"content-encoding"):
--- a/packages/callmodel/src/acaciayard_callmodel/_dialect.py
+++ b/packages/callmodel/src/acaciayard_callmodel/_dialect.py
@@ -36,7 +36,7 @@
     #: By this a target says that it has not run the call.
     not_run: bytes = b""
     #: By this a target proves that an answer is its own; a success without it is spoiled.
-    seal: bytes = b""
+    response_signature: bytes = b""
     #: Service of the host that the call came from; set by the entry whatever the caller sent.
     origin: bytes = b""
     #: Key of the caller's workspace; looked at, and taken out, where there are workspaces.
--- a/packages/calls/src/acaciayard_calls/_attempt.py
+++ b/packages/calls/src/acaciayard_calls/_attempt.py
@@ -16,7 +16,7 @@
 from acaciayard_routing import Candidate, Picker
 from acaciayard_timers import TimerService
 
-__all__ = ["Answered", "Attempt", "CallParts"]
+__all__ = ["Answered", "Attempt", "DispatchContext"]
 
 
 @define(eq=False)
@@ -100,7 +100,7 @@
 
 
 @frozen
-class CallParts:
+class DispatchContext:
     """What all calls of a daemon share."""
 
     #: Name of this host.
--- a/packages/calls/src/acaciayard_calls/_attempt_timer.py
+++ b/packages/calls/src/acaciayard_calls/_attempt_timer.py
@@ -9,11 +9,11 @@
 
 from acaciayard_timers import Subscription, TimerService
 
-__all__ = ["AttemptTimer", "Limit"]
+__all__ = ["AttemptTimer", "TimedAction"]
 
 
 @define(eq=False)
-class Limit:
+class TimedAction:
     """Something that happens to an attempt at a moment, unless it has ended before."""
 
     #: When, by the timer service.
@@ -37,7 +37,7 @@
         timer.cancel()              # the attempt has ended
     """
 
-    def __init__(self, timers: TimerService, limits: list[Limit]) -> None:
+    def __init__(self, timers: TimerService, limits: list[TimedAction]) -> None:
         self._timers = timers
         self._limits = sorted(limits, key=_BY_TIME, reverse=True)
         self._set: Subscription | None = None
--- a/packages/calls/src/acaciayard_calls/_call_run.py
+++ b/packages/calls/src/acaciayard_calls/_call_run.py
@@ -16,8 +16,8 @@
 from acaciayard_routing import Offer, Offers, Plan, Router
 from acaciayard_timers import ProcessorPart
 
-from ._attempt import Answered, Attempt, CallParts
-from ._attempt_timer import AttemptTimer, Limit
+from ._attempt import Answered, Attempt, DispatchContext
+from ._attempt_timer import AttemptTimer, TimedAction
 
 __all__ = ["CallRun", "no_target"]
 
@@ -33,7 +33,7 @@
 #: when a short crowd is over, and spread so that those who are refused together do not come back
 #: together.  Sooner they would stand before calls that can still be in time: from a tenth on, calls
 #: in their goal fell from 92 to 91 in 100 where slots lack for one call in ten.
-_COME_BACK: Final = (0.2, 0.33)
+_RETRY_AFTER_SHARES: Final = (0.2, 0.33)
 #: Seconds within which a daemon says that a call has come to it.  Between failure domains that
 #: takes 3 ms, and some more where a daemon is busy; a call that waits longer costs its caller more
 #: than a second offer does.
@@ -73,7 +73,7 @@
 
     def __init__(
         self,
-        parts: CallParts,
+        parts: DispatchContext,
         call: Call,
         plan: Plan,
         router: Router,
@@ -119,7 +119,7 @@
         What a caller has left bounds it: it will not wait for more than a third of that.
         """
         left = max(0.0, self._call.deadline - self._timers.now())
-        seconds = left * self._parts.seed.uniform(*_COME_BACK)
+        seconds = left * self._parts.seed.uniform(*_RETRY_AFTER_SHARES)
         return evolve(refusal, retry_after=max(refusal.retry_after, seconds))
 
     async def _run(self) -> Answered | NotRun | OutcomeUnknown:
@@ -200,18 +200,20 @@
         self._watch.follow(attempt.exchange)
         limits = []
         if not attempt.exchange.is_acknowledged:
-            limits.append(Limit(attempt.started + _SIGN_WITHIN, self._on_no_sign))
+            limits.append(TimedAction(attempt.started + _SIGN_WITHIN, self._on_no_sign))
         slow_at = attempt.started + self._plan.retry.per_try_s
         if self._may_hedge() and slow_at < self._call.deadline:
-            limits.append(Limit(slow_at, self._on_slow))
+            limits.append(TimedAction(slow_at, self._on_slow))
         return await self._finish(attempt, limits)
 
     async def _finish(
-        self, attempt: Attempt, limits: Sequence[Limit] = ()
+        self, attempt: Attempt, limits: Sequence[TimedAction] = ()
     ) -> Answer | NotRun | OutcomeUnknown:
         """Make one attempt and tell how it has ended."""
         known = self._suspects.of(self._call)
-        expiry = Limit(self._call.deadline, lambda: attempt.cut("no answer before the deadline"))
+        expiry = TimedAction(
+            self._call.deadline, lambda: attempt.cut("no answer before the deadline")
+        )
         timer = AttemptTimer(self._timers, [*limits, expiry])
         attempt.exchange.on_acknowledged(lambda: timer.drop(self._on_no_sign))
         outcome: Answer | NotRun | OutcomeUnknown
--- a/packages/calls/src/acaciayard_calls/_caller.py
+++ b/packages/calls/src/acaciayard_calls/_caller.py
@@ -12,9 +12,9 @@
 
 from ._answers import AnswerWriter
 from ._intake import EntryContext
+from ._pipeline import CallerRequest, RequestPipeline
 from ._refusals import RejectedError, fault_bytes
 from ._request_runs import ConnectionParts, RequestRuns
-from ._turns import CallerRequest, Turns
 
 __all__ = ["CallerConnection"]
 
@@ -38,7 +38,7 @@
         self._context = context
         self._timers = context.timers
         self._reader = RequestReader(stream, context.limits)
-        self._turns = Turns()
+        self._pipeline = RequestPipeline()
         self._is_reading = False
         self._is_over = False
         self._helpers = 0
@@ -55,7 +55,7 @@
             ConnectionParts(
                 stream=stream,
                 reader=self._reader,
-                turns=self._turns,
+                pipeline=self._pipeline,
                 answers=self._answers,
                 turn_of=self._turn_of,
                 read_on=self._read_on,
@@ -66,7 +66,7 @@
     @property
     def running(self) -> int:
         """Requests that are being served."""
-        return len(self._turns)
+        return len(self._pipeline)
 
     def close_if_late(self) -> None:
         """Close the connection if its next request is not whole after a long time.
@@ -92,11 +92,11 @@
         A connection that stops ends after what may be running: a caller sends again what lies
         behind an answer that closes.
         """
-        first = self._turns.first
+        first = self._pipeline.first
         if not head.keep_alive or first is None or first.body_unread:
             self._is_over = True
         elif self._context.is_stopping:
-            self._is_over = self._is_over or not self._turns.has_started_behind
+            self._is_over = self._is_over or not self._pipeline.has_concurrent_request
         return not self._is_over
 
     def _note_closing(self) -> None:
@@ -118,18 +118,18 @@
                 head = await self._reader.next_head()
                 if head is None or self._is_over:
                     return  # and nobody reads on
-                if self._context.is_stopping and self._turns.first is not None:
+                if self._context.is_stopping and self._pipeline.first is not None:
                     return  # the connection ends after what is under way
                 self._is_reading = False
                 request = CallerRequest(
                     head, self._timers.now(), body_unread=head.framing is not Framing.NONE
                 )
-                self._turns.begin(request)
+                self._pipeline.begin(request)
                 await self._serve(request)
                 request = None  # what fails from here on is no fault of its
                 if self._is_over:
                     break
-                if self._is_reading or self._turns.first is not None:
+                if self._is_reading or self._pipeline.first is not None:
                     self._read_on()
                     return
             self._stream.close()
@@ -149,7 +149,7 @@
     def _read_on(self) -> None:
         """Have another task read on where bytes wait and the requests under way allow it."""
         tasks = self._context.tasks
-        if tasks is None or self._is_reading or self._is_over or not self._turns.may_read_on:
+        if tasks is None or self._is_reading or self._is_over or not self._pipeline.may_read_ahead:
             return
         if self._stream.has_unread or self._reader.has_pending:
             self._is_reading = True
@@ -176,7 +176,7 @@
             await request.wait()
         finally:
             request.ended.held_ms += round((self._timers.now() - since) * 1000, 1)
-        if self._is_over and not request.runs_ahead:
+        if self._is_over and not request.runs_concurrently:
             request.note("not_run", 0, _BEHIND_CLOSING)
         if self._is_over:
             raise StreamLostError(_BEHIND_CLOSING)
@@ -190,7 +190,7 @@
             self._stream.abort()
             return
         if request is None:  # no request could be read; that is told in its turn
-            await self._turns.all_ended()
+            await self._pipeline.all_ended()
             if self._is_over:
                 return
         fault = group.exceptions[0]
@@ -225,13 +225,13 @@
         except RejectedError as rejected:
             request.note("rejected", rejected.status, rejected.refusal.reason)
             request.ended.retry_after = rejected.refusal.retry_after
-            if self._turns.first is not request:
+            if self._pipeline.first is not request:
                 await self._turn_of(request)
             await self._answers.refuse(request.head, rejected.refusal, rejected.status)
             is_answered = True
         except HttpError as fault:
             request.note("rejected", fault.status, fault.reason)
-            if self._turns.first is not request:
+            if self._pipeline.first is not request:
                 await self._turn_of(request)
             raise
         finally:
@@ -239,8 +239,8 @@
             request.ended.ms = round((self._idle_since - request.started) * 1000, 1)
             if not is_answered or self._context.is_stopping:
                 self._is_over = not (is_answered and self._keeps_alive(request.head))
-            self._turns.end(request)
-            if self._turns.first is None:
+            self._pipeline.end(request)
+            if self._pipeline.first is None:
                 self._stream.watch_lost(None)
             self._context.events.call_ended(request.ended)
         if request.body_unread:
--- a/packages/calls/src/acaciayard_calls/_claimer.py
+++ b/packages/calls/src/acaciayard_calls/_claimer.py
@@ -33,9 +33,9 @@
 )
 
 from ._attempt import Answered
-from ._claims import ClaimHome
+from ._claims import ClaimCoordinator
 
-__all__ = ["AnswerStore", "Claimed", "Claimer", "Taken", "kept_of"]
+__all__ = ["AlreadyClaimed", "AnswerStore", "Claimed", "Claimer", "kept_of"]
 
 _Reply = TypeVar("_Reply", ClaimAnswer, OutcomeAnswer)
 
@@ -68,7 +68,7 @@
 
 
 @frozen
-class Taken:
+class AlreadyClaimed:
     """Another call has the key."""
 
     #: Identity of its claim.
@@ -133,7 +133,7 @@
         self._log = log
         self._port = port
         self._timers = timers
-        self._homes: dict[int, ClaimHome] = {}
+        self._homes: dict[int, ClaimCoordinator] = {}
         self._store = AnswerStore(timers)
         self._pool = StreamPool(self._open, timers=timers)
         self._tasks: anyio.abc.TaskGroup | None = None
@@ -164,7 +164,7 @@
 
     # --- for calls of this daemon -------------------------------------------------------------
 
-    async def claim(self, scope: str, key: bytes) -> Claimed | Taken | NotRun:
+    async def claim(self, scope: str, key: bytes) -> Claimed | AlreadyClaimed | NotRun:
         """Claim a caller's key for one call."""
         digest = hashlib.blake2b(key, digest_size=_KEY_BYTES, person=_person(scope)).digest()
         claim = secrets.token_bytes(_KEY_BYTES)
@@ -175,7 +175,7 @@
             return Claimed(digest, claim)
         self._store.finish(claim, None)
         if answer.holder:
-            return Taken(answer.holder, answer.host)
+            return AlreadyClaimed(answer.holder, answer.host)
         return NotRun(f"the key cannot be claimed: {answer.reason}", _RETRY_AFTER)
 
     async def _ask_home(self, request: ClaimRequest) -> ClaimAnswer:
@@ -212,7 +212,9 @@
             else:
                 await self._ask(home, request, ClaimAnswer)
 
-    async def earlier_answer(self, taken: Taken, *, within: float) -> Answer | NotRun | None:
+    async def earlier_answer(
+        self, taken: AlreadyClaimed, *, within: float
+    ) -> Answer | NotRun | None:
         """How the call that holds a key ended, `None` when nobody can tell."""
         if taken.host == self._table.own.host:
             return await self._store.find(taken.claim, within=within)
@@ -258,11 +260,11 @@
         """The home of a key, and those that stand in for it."""
         return rendezvous(f"claims:{_shard_of(key)}", self._table.present(), _HOMES)
 
-    def _own_home(self, key: bytes) -> ClaimHome:
+    def _own_home(self, key: bytes) -> ClaimCoordinator:
         shard = _shard_of(key)
         home = self._homes.get(shard)
         if home is None:
-            home = ClaimHome(f"claims-{shard}", log=self._log, timers=self._timers)
+            home = ClaimCoordinator(f"claims-{shard}", log=self._log, timers=self._timers)
             self._homes[shard] = home
         return home
 
--- a/packages/calls/src/acaciayard_calls/_claims.py
+++ b/packages/calls/src/acaciayard_calls/_claims.py
@@ -26,7 +26,7 @@
 )
 from acaciayard_timers import TimerService
 
-__all__ = ["ClaimBook", "ClaimHome", "Holding"]
+__all__ = ["ClaimCoordinator", "ClaimHolder", "ClaimTable"]
 
 #: Claims in one record.
 _BATCH: Final = 512
@@ -41,7 +41,7 @@
 
 
 @frozen
-class Holding:
+class ClaimHolder:
     """Who holds a key."""
 
     #: Identity of the claim.
@@ -50,17 +50,17 @@
     host: str
 
 
-class ClaimBook:
+class ClaimTable:
     """What follows from the records of one stream, in their order."""
 
     def __init__(self) -> None:
-        self._holdings: dict[bytes, Holding] = {}
+        self._holdings: dict[bytes, ClaimHolder] = {}
         self._released: dict[bytes, None] = {}
 
     def __len__(self) -> int:
         return len(self._holdings)
 
-    def holder(self, key: bytes) -> Holding | None:
+    def holder(self, key: bytes) -> ClaimHolder | None:
         """Who holds a key."""
         return self._holdings.get(key)
 
@@ -70,14 +70,14 @@
             body = msgpack.unpackb(payload)
             batch, claims, releases = body["batch"], body["claims"], body["releases"]
             for key, claim, host in claims:
-                self._claim(key, Holding(claim, host))
+                self._claim(key, ClaimHolder(claim, host))
             for key, claim in releases:
                 self._release(key, claim)
             return bytes(batch)
         except (ValueError, KeyError, TypeError, msgpack.exceptions.UnpackException):
             return b""
 
-    def _claim(self, key: bytes, holding: Holding) -> None:
+    def _claim(self, key: bytes, holding: ClaimHolder) -> None:
         if holding.claim in self._released or key in self._holdings:
             return
         self._holdings[key] = holding
@@ -103,14 +103,14 @@
     failure: str = ""
 
 
-class ClaimHome:
+class ClaimCoordinator:
     """Appends the claims of one stream in batches and tells their outcomes."""
 
     def __init__(self, stream: str, *, log: LogService, timers: TimerService) -> None:
         self._stream = stream
         self._log = log
         self._timers = timers
-        self._book = ClaimBook()
+        self._book = ClaimTable()
         self._next = 0
         self._is_current = False
         self._pending: list[_Pending] = []
--- a/packages/calls/src/acaciayard_calls/_dispatcher.py
+++ b/packages/calls/src/acaciayard_calls/_dispatcher.py
@@ -6,7 +6,7 @@
 from acaciayard_membership import Suspicion
 from acaciayard_routing import MOST_OFFERS, Candidate, Plan, Router
 
-from ._attempt import Answered, Attempt, CallParts
+from ._attempt import Answered, Attempt, DispatchContext
 from ._call_run import CallRun, no_target
 
 __all__ = ["Dispatcher"]
@@ -19,7 +19,7 @@
         outcome = await dispatcher.run(call, plan, router, CallWatch(), may_retry=True)
     """
 
-    def __init__(self, parts: CallParts) -> None:
+    def __init__(self, parts: DispatchContext) -> None:
         self._parts = parts
         self._timers = parts.timers
         self._retries = 0
--- a/packages/calls/src/acaciayard_calls/_entry.py
+++ b/packages/calls/src/acaciayard_calls/_entry.py
@@ -27,7 +27,7 @@
 from ._caller import CallerConnection
 from ._claimer import Claimer
 from ._dispatcher import Dispatcher
-from ._first_asked import FirstAsked
+from ._first_request import FirstRequestEstimator
 from ._intake import EntryContext
 from ._levels import ServiceLevels
 
@@ -72,7 +72,7 @@
             levels=levels,
             targets=targets,
             timers=timers,
-            first_asked=FirstAsked(timers),
+            first_asked=FirstRequestEstimator(timers),
             limits=_CALLER_LIMITS,
             not_serving=not_serving,
             dialect=dialect,
--- a/packages/calls/src/acaciayard_calls/_first_asked.py
+++ b/packages/calls/src/acaciayard_calls/_first_request.py
@@ -13,7 +13,7 @@
 
 from acaciayard_timers import TimerService
 
-__all__ = ["FirstAsked"]
+__all__ = ["FirstRequestEstimator"]
 
 #: Calls of each route whose deadlines are remembered: some seconds' worth of them, and enough that
 #: the second least of first calls is near the least that callers tell.
@@ -75,7 +75,7 @@
             self.middle = ordered[len(ordered) // 2]
 
 
-class FirstAsked:
+class FirstRequestEstimator:
     """Estimates for each call when its caller asked for the first time.
 
     While nobody was sent back for as long as callers usually wait, all calls are first ones, and
@@ -87,27 +87,27 @@
     answered in their goal rose from 34 to 66 in 100 (`test_overload`).
 
     Example:
-        first_asked.of("quotes", told=0.7)      # 0.3 s ago, where callers tell 1.0 at first
+        first_asked.of("quotes", timeout=0.7)      # 0.3 s ago, where callers tell 1.0 at first
     """
 
     def __init__(self, timers: TimerService) -> None:
         self._timers = timers
         self._routes: dict[str, _Told] = {}
 
-    def of(self, route: str, *, told: float) -> float:
-        """When the caller asked first, by the timer service; it tells a deadline of `told` s."""
+    def of(self, route: str, *, timeout: float) -> float:
+        """When the caller asked first, by the timer service; it tells a deadline of `timeout` s."""
         now = self._timers.now()
-        if told <= 0:
+        if timeout <= 0:
             return now
         known = self._told_of(route)
-        if known.note(told, now):
+        if known.note(timeout, now):
             return now
         least = known.least or known.usual * _LEAST_PART
-        if told >= least:
+        if timeout >= least:
             return now
-        return now - ((known.middle or known.usual) - told)
+        return now - ((known.middle or known.usual) - timeout)
 
-    def note_sent_back(self, route: str) -> None:
+    def note_failure(self, route: str) -> None:
         """A caller got no good answer and may come back."""
         self._told_of(route).sent_back_at = self._timers.now()
 
--- a/packages/calls/src/acaciayard_calls/_intake.py
+++ b/packages/calls/src/acaciayard_calls/_intake.py
@@ -35,7 +35,7 @@
 
 from ._claimer import Claimer
 from ._dispatcher import Dispatcher
-from ._first_asked import FirstAsked
+from ._first_request import FirstRequestEstimator
 from ._identity import Identity
 from ._levels import ServiceLevels
 from ._refusals import RejectedError
@@ -73,7 +73,7 @@
     #: Time.
     timers: TimerService
     #: Tells first calls from repeats.
-    first_asked: FirstAsked
+    first_asked: FirstRequestEstimator
     #: What a request may cost.
     limits: Limits
     #: Why no calls are served now, empty when they are.
--- a/packages/calls/src/acaciayard_calls/_turns.py
+++ b/packages/calls/src/acaciayard_calls/_pipeline.py
@@ -15,14 +15,14 @@
 from acaciayard_callmodel import Call, CallEnded, CallWatch
 from acaciayard_http1 import RequestHead
 
-__all__ = ["MOST_HELD_BYTES", "MOST_UNDER_WAY", "CallerRequest", "Turns"]
+__all__ = ["MAX_BUFFERED_BYTES", "MAX_PIPELINED_REQUESTS", "CallerRequest", "RequestPipeline"]
 
 #: Requests of one connection that are under way at most.  Fewer than the slots of a usual target,
 #: so that one connection cannot take the whole room of one; further requests wait in the socket.
-MOST_UNDER_WAY: Final = 4
+MAX_PIPELINED_REQUESTS: Final = 4
 #: Bytes of heads and ready answers behind the first request from which a connection is not read
 #: on: two answers of the largest size that is held whole.
-MOST_HELD_BYTES: Final = 128 * 1024
+MAX_BUFFERED_BYTES: Final = 128 * 1024
 
 
 @define(eq=False)
@@ -44,9 +44,9 @@
     #: The call that a target here makes it for; `None` for a caller's own.
     parent: Call | None = None
     #: Whether it runs beside others: it has begun whatever is before it.
-    runs_ahead: bool = False
+    runs_concurrently: bool = False
     #: Bytes that are held for it while others are before it.
-    held_bytes: int = 0
+    buffered_bytes: int = 0
     _turn: anyio.Event | None = None
 
     def note(self, outcome: str, status: int, reason: str = "") -> None:
@@ -66,7 +66,7 @@
             self._turn.set()
 
 
-class Turns:
+class RequestPipeline:
     """The requests of one connection that are under way, in the order in which they were read."""
 
     def __init__(self) -> None:
@@ -79,20 +79,20 @@
         return len(self._requests)
 
     @property
-    def may_read_on(self) -> bool:
+    def may_read_ahead(self) -> bool:
         """Whether a further request may be read before the first one is answered."""
         requests = self._requests
-        if not requests or len(requests) >= MOST_UNDER_WAY:
+        if not requests or len(requests) >= MAX_PIPELINED_REQUESTS:
             return False
         last = requests[-1]
-        if not last.runs_ahead or not last.head.keep_alive:
+        if not last.runs_concurrently or not last.head.keep_alive:
             return False
-        return sum(each.held_bytes for each in requests) < MOST_HELD_BYTES
+        return sum(each.buffered_bytes for each in requests) < MAX_BUFFERED_BYTES
 
     @property
-    def has_started_behind(self) -> bool:
+    def has_concurrent_request(self) -> bool:
         """Whether a request behind the first may be running at a target."""
-        return len(self._requests) > 1 and self._requests[1].runs_ahead
+        return len(self._requests) > 1 and self._requests[1].runs_concurrently
 
     def begin(self, request: CallerRequest) -> None:
         """A request was read."""
@@ -100,7 +100,7 @@
             self.first = request
         else:
             request.ended.behind = len(self._requests)
-            request.held_bytes = _size_of(request.head)
+            request.buffered_bytes = _size_of(request.head)
         self._requests.append(request)
 
     def end(self, request: CallerRequest) -> None:
--- a/packages/calls/src/acaciayard_calls/_request_runs.py
+++ b/packages/calls/src/acaciayard_calls/_request_runs.py
@@ -33,7 +33,7 @@
 
 from ._answers import AnswerWriter
 from ._attempt import Answered, Attempt
-from ._claimer import Claimed, Claimer, Taken, kept_of
+from ._claimer import AlreadyClaimed, Claimed, Claimer, kept_of
 from ._identity import Identity, counted_of, identity_of
 from ._intake import (
     EntryContext,
@@ -43,9 +43,9 @@
     plan_for,
     told_deadline,
 )
+from ._pipeline import CallerRequest, RequestPipeline
 from ._refusals import RejectedError
-from ._turns import CallerRequest, Turns
-from ._waits import nested, start_by
+from ._slot_deadlines import nested, start_by
 
 __all__ = ["ConnectionParts", "RequestRuns"]
 
@@ -62,7 +62,7 @@
     #: Reads requests and their bodies from it.
     reader: RequestReader
     #: The requests that are under way.
-    turns: Turns
+    pipeline: RequestPipeline
     #: Writes answers to it.
     answers: AnswerWriter
     #: Waits until the requests before one are answered; raises `StreamLostError` behind a closing
@@ -85,7 +85,7 @@
         self._timers = context.timers
         self._stream = parts.stream
         self._reader = parts.reader
-        self._turns = parts.turns
+        self._pipeline = parts.pipeline
         self._answers = parts.answers
 
     async def run(self, request: CallerRequest) -> None:
@@ -96,7 +96,7 @@
         if name:
             ended.request_id = first_header(head.headers, name).decode("latin-1")
         router, plan = plan_for(head, self._context)
-        if self._turns.first is not request and not _may_run_ahead(head, plan):
+        if self._pipeline.first is not request and not _may_run_ahead(head, plan):
             await self._parts.turn_of(request)
             router, plan = plan_for(head, self._context)  # as it is by now
         ended.route = plan.route.name
@@ -193,7 +193,7 @@
         """When a caller's call must have a slot, counted from when the caller asked first."""
         started = request.started
         told = told_deadline(request.head, self._context)
-        first_asked = min(started, self._context.first_asked.of(plan.route.name, told=told))
+        first_asked = min(started, self._context.first_asked.of(plan.route.name, timeout=told))
         if first_asked < started:
             request.ended.age_ms = round((started - first_asked) * 1000, 1)
         return start_by(plan, first_asked)
@@ -233,9 +233,9 @@
         may_retry = not header or number_in(head, header, 1) <= 1
         watch = request.watch = CallWatch()
         request.ended.tries = watch.tries
-        self._stream.watch_lost(self._turns.give_up, on_unread=self._parts.read_on)
+        self._stream.watch_lost(self._pipeline.give_up, on_unread=self._parts.read_on)
         if _may_run_ahead(head, plan):
-            request.runs_ahead = True
+            request.runs_concurrently = True
             if self._stream.has_unread or self._reader.has_pending:
                 self._parts.read_on()
         outcome = await self._context.dispatcher.run(call, plan, router, watch, may_retry=may_retry)
@@ -255,14 +255,14 @@
         is_barred = isinstance(outcome, NotRun) and outcome.is_barred
         is_good = isinstance(outcome, Answered) and outcome.answer.status < 500
         if not (is_good or is_barred):  # what is barred tells nothing of how callers come back
-            self._context.first_asked.note_sent_back(plan.route.name)
+            self._context.first_asked.note_failure(plan.route.name)
         if not is_good and request.parent is not None:
             self._context.targets.note_inner_lost(request.parent)
         match outcome:
             case Answered(answer, attempt):
                 try:
-                    if self._turns.first is not request:
-                        request.held_bytes += len(answer.body)
+                    if self._pipeline.first is not request:
+                        request.buffered_bytes += len(answer.body)
                         await self._parts.turn_of(request)
                     await self._answers.relay(head, plan, answer, attempt)
                 finally:
@@ -275,12 +275,12 @@
                 request.ended.is_overload = outcome.is_overload
                 request.ended.is_by_target = outcome.is_by_target
                 request.ended.is_barred = outcome.is_barred
-                if self._turns.first is not request:
+                if self._pipeline.first is not request:
                     await self._parts.turn_of(request)
                 await self._answers.refuse(head, outcome, 503)
             case OutcomeUnknown():
                 request.note("unknown", 504, outcome.reason)
-                if self._turns.first is not request:
+                if self._pipeline.first is not request:
                     await self._parts.turn_of(request)
                 await self._answers.unknown(head, outcome, 504)
         return False
@@ -303,7 +303,7 @@
             case NotRun() as refusal:
                 await self._answers.refuse(head, refusal, 503)
                 return False
-            case Taken() as taken:
+            case AlreadyClaimed() as taken:
                 return await self._repeat(head, call, taken, claimer)
             case Claimed() as claimed:
                 pass
@@ -317,7 +317,9 @@
             claimer.finish(claimed, kept)
         return await self._finish(request, plan, outcome)
 
-    async def _repeat(self, head: RequestHead, call: Call, taken: Taken, claimer: Claimer) -> bool:
+    async def _repeat(
+        self, head: RequestHead, call: Call, taken: AlreadyClaimed, claimer: Claimer
+    ) -> bool:
         """Answer a call whose key another call holds with the answer to that one."""
         remaining = max(0.0, call.deadline - self._timers.now())
         match await claimer.earlier_answer(taken, within=remaining):
--- a/packages/calls/tests/ablation.py
+++ b/packages/calls/tests/ablation.py
@@ -24,7 +24,7 @@
 from acaciayard_admission import Gate
 from acaciayard_callmodel import NotRun
 from acaciayard_calls import _call_run as call_run
-from acaciayard_calls._first_asked import FirstAsked
+from acaciayard_calls._first_request import FirstRequestEstimator
 from acaciayard_routing import Picker
 from acaciayard_routing import _offers as offers
 from acaciayard_routing import _picker as picker
@@ -40,7 +40,7 @@
     off: Callable[[], contextlib.AbstractContextManager[Any]]
 
 
-def _all_first(self: FirstAsked, _route: str, *, told: float) -> float:
+def _all_first(self: FirstRequestEstimator, _route: str, *, timeout: float) -> float:
     return self._timers.now()
 
 
@@ -72,11 +72,12 @@
 #: The mechanisms, each with the way in which it is switched off.
 MECHANISMS: Final = (
     Mechanism(
-        "first calls before repeats", lambda: mock.patch.object(FirstAsked, "of", _all_first)
+        "first calls before repeats",
+        lambda: mock.patch.object(FirstRequestEstimator, "of", _all_first),
     ),
     Mechanism(
         "back after 0.2 to 0.33 of the time left (0.1 to 0.3)",
-        lambda: mock.patch.object(call_run, "_COME_BACK", (0.1, 0.3)),
+        lambda: mock.patch.object(call_run, "_RETRY_AFTER_SHARES", (0.1, 0.3)),
     ),
     Mechanism(
         "at once back to targets that shed",
--- a/packages/calls/tests/call_rig.py
+++ b/packages/calls/tests/call_rig.py
@@ -11,7 +11,7 @@
 
 from acaciayard_admission import Announcement, GatePolicy, LocalTargets, RetryBudgets
 from acaciayard_callmodel import Call, Dialect
-from acaciayard_calls import CallParts, Dispatcher
+from acaciayard_calls import DispatchContext, Dispatcher
 from acaciayard_handover import CallServer, call_pool
 from acaciayard_http1 import End, Limits, RequestHead, RequestReader
 from acaciayard_membership import Member, MemberState, MemberTable, TargetInfo
@@ -36,7 +36,7 @@
     request_id=b"x-request",
     expected_target=b"x-for",
     not_run=b"x-not-run",
-    seal=b"x-seal",
+    response_signature=b"x-seal",
     origin=b"x-origin",
 )
 
@@ -160,7 +160,7 @@
         self.budgets = RetryBudgets()
         picker = Picker(table=self.table, timers=entry.timers, seed=random.Random(1))
         self.dispatcher = Dispatcher(
-            CallParts(
+            DispatchContext(
                 host=entry.name,
                 picker=picker,
                 targets=entry.targets,
--- a/packages/calls/tests/load_exchange.py
+++ b/packages/calls/tests/load_exchange.py
@@ -11,7 +11,7 @@
 from acaciayard_admission import SlotHeld
 from acaciayard_admission._target_answers import refused_by_target
 from acaciayard_callmodel import Answer, Call, Exchange, NotRun, OutcomeUnknown
-from acaciayard_calls import Answered, CallParts
+from acaciayard_calls import Answered, DispatchContext
 from acaciayard_calls._attempt import Attempt
 from acaciayard_http1 import BodyPart, End, Headers
 from acaciayard_routing import Candidate
@@ -27,7 +27,7 @@
 
 
 @frozen
-class ModelParts(CallParts):
+class ModelParts(DispatchContext):
     """Call parts whose attempts go to modelled targets."""
 
     mesh: Mesh = field(kw_only=True)
--- a/packages/calls/tests/load_model.py
+++ b/packages/calls/tests/load_model.py
@@ -26,8 +26,8 @@
 from acaciayard_admission import Gate, GatePolicy, SharedRetryBudgets, Suspects
 from acaciayard_callmodel import OWN_DIALECT, Call, CallWatch, NotRun
 from acaciayard_calls import Answered, Dispatcher
-from acaciayard_calls._first_asked import FirstAsked
-from acaciayard_calls._waits import nested, start_by
+from acaciayard_calls._first_request import FirstRequestEstimator
+from acaciayard_calls._slot_deadlines import nested, start_by
 from acaciayard_membership import Member, MemberState, MemberTable, TargetInfo
 from acaciayard_membership._messages import MEMBER_CODEC
 from acaciayard_resources import PRIORITIES, Invariants, RetryPolicy, Route, Service, TimeoutPolicy
@@ -68,7 +68,7 @@
             targets=(info,),
         )
         self.table = MemberTable(self.member, mesh.timers)
-        self.first_asked = FirstAsked(mesh.timers)
+        self.first_asked = FirstRequestEstimator(mesh.timers)
 
     def meet(self, others: list[Host]) -> None:
         """Hear of all hosts, and be ready for callers."""
@@ -101,7 +101,7 @@
         now = mesh.timers.now()
         plan = mesh.router.match(host="h", path=f"/{kind.name}", method="GET")
         assert plan is not None
-        first = now if parent is not None else self.first_asked.of(plan.route.name, told=left)
+        first = now if parent is not None else self.first_asked.of(plan.route.name, timeout=left)
         call = Call(
             service=kind.service,
             method=b"GET",
@@ -124,7 +124,7 @@
         if isinstance(outcome, Answered):
             outcome.attempt.close()
         elif isinstance(outcome, NotRun) and parent is None:
-            self.first_asked.note_sent_back(plan.route.name)
+            self.first_asked.note_failure(plan.route.name)
         return outcome
 
 
--- a/packages/calls/tests/test_attempt_timer.py
+++ b/packages/calls/tests/test_attempt_timer.py
@@ -6,7 +6,7 @@
 
 import anyio
 
-from acaciayard_calls._attempt_timer import AttemptTimer, Limit
+from acaciayard_calls._attempt_timer import AttemptTimer, TimedAction
 from acaciayard_timers import ManualTimers
 
 
@@ -15,8 +15,8 @@
         self.timers = ManualTimers()
         self.came: list[str] = []
 
-    def limit(self, at: float, name: str) -> Limit:
-        return Limit(at, lambda: self.came.append(name))
+    def limit(self, at: float, name: str) -> TimedAction:
+        return TimedAction(at, lambda: self.came.append(name))
 
     def advance(self, seconds: float) -> None:
         anyio.run(self.timers.advance, seconds)
@@ -53,7 +53,9 @@
         self.assertEqual(self.came, ["a"])
 
     def test_end_within_a_limit(self) -> None:
-        timer = AttemptTimer(self.timers, [Limit(1.0, lambda: timer.cancel()), self.limit(2, "b")])
+        timer = AttemptTimer(
+            self.timers, [TimedAction(1.0, lambda: timer.cancel()), self.limit(2, "b")]
+        )
         self.advance(5.0)
         self.assertEqual(self.came, [])
 
--- a/packages/calls/tests/test_claims.py
+++ b/packages/calls/tests/test_claims.py
@@ -7,7 +7,7 @@
 
 import anyio
 
-from acaciayard_calls import ClaimHome
+from acaciayard_calls import ClaimCoordinator
 from acaciayard_handover import ClaimAnswer, ClaimRequest, ReleaseRequest
 from acaciayard_standins import FakeLog
 from acaciayard_timers import ManualTimers
@@ -21,22 +21,25 @@
 
 class ClaimTest(unittest.TestCase):
     def run_homes(
-        self, body: Callable[[FakeLog, ManualTimers, ClaimHome, ClaimHome], Awaitable[None]]
+        self,
+        body: Callable[
+            [FakeLog, ManualTimers, ClaimCoordinator, ClaimCoordinator], Awaitable[None]
+        ],
     ) -> None:
         async def run() -> None:
             timers = ManualTimers()
             log = FakeLog(timers)
-            homes = [ClaimHome("claims-0", log=log, timers=timers) for _ in range(2)]
+            homes = [ClaimCoordinator("claims-0", log=log, timers=timers) for _ in range(2)]
             await body(log, timers, *homes)
 
         anyio.run(run)
 
     async def ask(
-        self, timers: ManualTimers, *asked: tuple[ClaimHome, ClaimRequest]
+        self, timers: ManualTimers, *asked: tuple[ClaimCoordinator, ClaimRequest]
     ) -> list[ClaimAnswer]:
         answers: dict[int, ClaimAnswer] = {}
 
-        async def one(index: int, home: ClaimHome, claim: ClaimRequest) -> None:
+        async def one(index: int, home: ClaimCoordinator, claim: ClaimRequest) -> None:
             answers[index] = await home.claim(claim)
 
         async with anyio.create_task_group() as tasks:
@@ -47,7 +50,7 @@
 
     def test_two_homes_grant_a_key_once(self) -> None:
         async def body(
-            log: FakeLog, timers: ManualTimers, one: ClaimHome, other: ClaimHome
+            log: FakeLog, timers: ManualTimers, one: ClaimCoordinator, other: ClaimCoordinator
         ) -> None:
             answers = await self.ask(
                 timers, (one, request(b"1" * 16)), (other, request(b"2" * 16)), (one, request(b"3"))
@@ -59,7 +62,7 @@
 
     def test_home_that_was_paused_sees_what_another_one_wrote(self) -> None:
         async def body(
-            log: FakeLog, timers: ManualTimers, paused: ClaimHome, other: ClaimHome
+            log: FakeLog, timers: ManualTimers, paused: ClaimCoordinator, other: ClaimCoordinator
         ) -> None:
             await self.ask(timers, (paused, request(b"0", key=b"x" * 16)))
             granted = await self.ask(timers, (other, request(b"1")))
@@ -71,7 +74,7 @@
 
     def test_lost_answers_of_the_log(self) -> None:
         async def body(
-            log: FakeLog, timers: ManualTimers, one: ClaimHome, other: ClaimHome
+            log: FakeLog, timers: ManualTimers, one: ClaimCoordinator, other: ClaimCoordinator
         ) -> None:
             log.answers_to_lose = 1
             answers = await self.ask(timers, (one, request(b"1")))
@@ -83,7 +86,7 @@
 
     def test_log_out_grants_nothing(self) -> None:
         async def body(
-            log: FakeLog, timers: ManualTimers, one: ClaimHome, _other: ClaimHome
+            log: FakeLog, timers: ManualTimers, one: ClaimCoordinator, _other: ClaimCoordinator
         ) -> None:
             log.is_down = True
             answers = await self.ask(timers, (one, request(b"1")))
@@ -94,7 +97,7 @@
 
     def test_released_claim_frees_its_key_and_is_void_for_ever(self) -> None:
         async def body(
-            log: FakeLog, timers: ManualTimers, one: ClaimHome, other: ClaimHome
+            log: FakeLog, timers: ManualTimers, one: ClaimCoordinator, other: ClaimCoordinator
         ) -> None:
             await self.ask(timers, (one, request(b"1")))
             await one.release(ReleaseRequest(KEY, b"1"))
@@ -109,7 +112,7 @@
 
     def test_claims_that_come_together_share_appends(self) -> None:
         async def body(
-            log: FakeLog, timers: ManualTimers, one: ClaimHome, _other: ClaimHome
+            log: FakeLog, timers: ManualTimers, one: ClaimCoordinator, _other: ClaimCoordinator
         ) -> None:
             asked = [(one, request(b"c%d" % i, key=b"%016d" % i)) for i in range(300)]
             answers = await self.ask(timers, *asked)
--- a/packages/calls/tests/test_pipelined_streams.py
+++ b/packages/calls/tests/test_pipelined_streams.py
@@ -17,9 +17,9 @@
 from acaciayard_callmodel import Answer, Call, CallWatch
 from acaciayard_calls import Answered, ServiceLevels
 from acaciayard_calls._caller import CallerConnection
-from acaciayard_calls._first_asked import FirstAsked
+from acaciayard_calls._first_request import FirstRequestEstimator
 from acaciayard_calls._intake import EntryContext
-from acaciayard_calls._turns import MOST_UNDER_WAY
+from acaciayard_calls._pipeline import MAX_PIPELINED_REQUESTS
 from acaciayard_http1 import Limits
 from acaciayard_resources import Route, Service
 from acaciayard_routing import Plan, Router
@@ -189,7 +189,7 @@
         self, call: Call, _plan: Plan, _router: Router, _watch: CallWatch, *, may_retry: bool
     ) -> Answered:
         assert may_retry
-        assert len(self._running) < MOST_UNDER_WAY, "too many at once"
+        assert len(self._running) < MAX_PIPELINED_REQUESTS, "too many at once"
         assert all(each.is_idempotent for each in self._running), "passed an unsafe request"
         number = int(call.target.rpartition(b"/")[2])
         if not call.is_idempotent or call.body:
@@ -226,7 +226,7 @@
             levels=ServiceLevels(timers),
             targets=NoTargets(),  # type: ignore[arg-type]
             timers=timers,
-            first_asked=FirstAsked(timers),
+            first_asked=FirstRequestEstimator(timers),
             limits=Limits(),
             not_serving=lambda: "",
             holds_chunked=True,
--- a/packages/calls/tests/test_pipelining.py
+++ b/packages/calls/tests/test_pipelining.py
@@ -15,7 +15,12 @@
 from acaciayard_calls import EntryServer, ServiceLevels
 from acaciayard_calls._identity import ANYONE, Identity
 from acaciayard_calls._intake import RejectedError
-from acaciayard_calls._turns import MOST_HELD_BYTES, MOST_UNDER_WAY, CallerRequest, Turns
+from acaciayard_calls._pipeline import (
+    MAX_BUFFERED_BYTES,
+    MAX_PIPELINED_REQUESTS,
+    CallerRequest,
+    RequestPipeline,
+)
 from acaciayard_http1 import Framing, RequestHead
 from acaciayard_resources import Route, Service
 from acaciayard_routing import Router
@@ -220,20 +225,20 @@
         play(HeldTarget(), body)
 
     def test_what_is_under_way_is_bounded_and_nothing_is_dropped(self) -> None:
-        paths = [f"/safe/{number}" for number in range(3 * MOST_UNDER_WAY)]
+        paths = [f"/safe/{number}" for number in range(3 * MAX_PIPELINED_REQUESTS)]
 
         async def body(scene: Scene) -> None:
             await scene.caller.send(*(get(path) for path in paths))
-            await scene.until_got(*paths[:MOST_UNDER_WAY])
+            await scene.until_got(*paths[:MAX_PIPELINED_REQUESTS])
             for done, path in enumerate(paths):
                 scene.target.release(path)
                 await scene.until(lambda done=done: len(scene.caller.answers) > done)  # type: ignore[misc]
-                room = min(len(paths), done + 1 + MOST_UNDER_WAY)
+                room = min(len(paths), done + 1 + MAX_PIPELINED_REQUESTS)
                 await scene.until(lambda room=room: len(scene.target.got) >= room)  # type: ignore[misc]
                 self.assertEqual(len(scene.target.got), room)
             await scene.until_answered(*(f"200 {path}" for path in paths))
 
-        play(HeldTarget(*paths), body, slots=3 * MOST_UNDER_WAY)
+        play(HeldTarget(*paths), body, slots=3 * MAX_PIPELINED_REQUESTS)
 
     def test_slow_request_holds_its_own_connection_alone(self) -> None:
         async def body(scene: Scene) -> None:
@@ -541,34 +546,34 @@
 
 
 class TurnsTest(unittest.TestCase):
-    def request(self, *, runs_ahead: bool = True) -> CallerRequest:
+    def request(self, *, runs_concurrently: bool = True) -> CallerRequest:
         head = RequestHead(b"GET", b"/x", (), Framing.NONE)
-        return CallerRequest(head, 0.0, runs_ahead=runs_ahead)
+        return CallerRequest(head, 0.0, runs_concurrently=runs_concurrently)
 
     def test_bytes_that_are_held_end_reading(self) -> None:
-        turns = Turns()
+        pipeline = RequestPipeline()
         for _ in range(2):
-            turns.begin(self.request())
-        self.assertTrue(turns.may_read_on)
-        turns.first.held_bytes = MOST_HELD_BYTES
-        self.assertFalse(turns.may_read_on)
+            pipeline.begin(self.request())
+        self.assertTrue(pipeline.may_read_ahead)
+        pipeline.first.buffered_bytes = MAX_BUFFERED_BYTES
+        self.assertFalse(pipeline.may_read_ahead)
 
     def test_large_heads_count(self) -> None:
-        turns = Turns()
-        large = RequestHead(b"GET", b"/x" * MOST_HELD_BYTES, (), Framing.NONE)
-        turns.begin(self.request())
-        turns.begin(CallerRequest(large, 0.0, runs_ahead=True))
-        self.assertFalse(turns.may_read_on)
+        pipeline = RequestPipeline()
+        large = RequestHead(b"GET", b"/x" * MAX_BUFFERED_BYTES, (), Framing.NONE)
+        pipeline.begin(self.request())
+        pipeline.begin(CallerRequest(large, 0.0, runs_concurrently=True))
+        self.assertFalse(pipeline.may_read_ahead)
 
     def test_nothing_is_read_behind_what_lets_nothing_pass(self) -> None:
-        turns = Turns()
-        turns.begin(self.request())
-        turns.begin(self.request(runs_ahead=False))
-        self.assertFalse(turns.may_read_on)
-        self.assertFalse(turns.has_started_behind)
+        pipeline = RequestPipeline()
+        pipeline.begin(self.request())
+        pipeline.begin(self.request(runs_concurrently=False))
+        self.assertFalse(pipeline.may_read_ahead)
+        self.assertFalse(pipeline.has_concurrent_request)
 
     def test_nothing_is_read_behind_a_request_that_closes(self) -> None:
-        turns = Turns()
+        pipeline = RequestPipeline()
         head = RequestHead(b"GET", b"/x", (), Framing.NONE, keep_alive=False)
-        turns.begin(CallerRequest(head, 0.0, runs_ahead=True))
-        self.assertFalse(turns.may_read_on)
+        pipeline.begin(CallerRequest(head, 0.0, runs_concurrently=True))
+        self.assertFalse(pipeline.may_read_ahead)
--- a/packages/daemon/src/acaciayard_daemon/_build.py
+++ b/packages/daemon/src/acaciayard_daemon/_build.py
@@ -14,7 +14,7 @@
 from acaciayard_admission import LocalTargets, RetryBudgets, SuspectNews, Suspects
 from acaciayard_api import ApiContext, ApiServer, ChangeService, Progress, api_application
 from acaciayard_callmodel import OWN_DIALECT
-from acaciayard_calls import CallParts, Claimer, Dispatcher, EntryServer, ServiceLevels
+from acaciayard_calls import Claimer, DispatchContext, Dispatcher, EntryServer, ServiceLevels
 from acaciayard_handover import CLAIM_MESSAGES, CallServer, StreamPool, call_pool
 from acaciayard_logservice import HttpLogService, http_log_service
 from acaciayard_membership import (
@@ -259,7 +259,7 @@
         levels = ServiceLevels(self._timers)
         claimer = Claimer(table=members.table, log=log, port=port, timers=self._timers)
         dispatcher = Dispatcher(
-            CallParts(
+            DispatchContext(
                 host=self._settings.host.name,
                 picker=Picker(table=members.table, timers=self._timers, seed=self._seed),
                 targets=targets,
--- a/packages/hosted/src/acaciayard_hosted/_build.py
+++ b/packages/hosted/src/acaciayard_hosted/_build.py
@@ -17,7 +17,7 @@
     Suspects,
     TargetNews,
 )
-from acaciayard_calls import CallParts, Dispatcher, EntryServer, ServiceLevels
+from acaciayard_calls import DispatchContext, Dispatcher, EntryServer, ServiceLevels
 from acaciayard_handover import CallServer, call_pool
 from acaciayard_http1 import HttpService
 from acaciayard_membership import (
@@ -360,7 +360,7 @@
             timers=self._timers,
         )
         dispatcher = Dispatcher(
-            CallParts(
+            DispatchContext(
                 host=settings.name,
                 picker=self._picker,
                 rollouts=self._book,
