--- a/packages/calls/src/acaciayard_calls/__init__.py
+++ b/packages/calls/src/acaciayard_calls/__init__.py
@@ -1,4 +1,8 @@
-"""The call path: callers' calls to targets, whole, truthful and at most once."""
+"""The call path: accepts requests from callers, dispatches them to targets and returns responses.
+
+A call with an idempotency key runs at most once.  Every failure response states whether the call
+certainly did not run or whether its outcome is unknown.
+"""
 
 from ._attempt import Answered, Attempt, DispatchContext
 from ._claimer import AlreadyClaimed, AnswerStore, Claimed, Claimer
--- a/packages/calls/src/acaciayard_calls/_answers.py
+++ b/packages/calls/src/acaciayard_calls/_answers.py
@@ -1,4 +1,4 @@
-"""Writes answers to a caller."""
+"""Writes responses to a caller's connection."""
 
 from __future__ import annotations
 
@@ -35,10 +35,11 @@
 
 
 class AnswerWriter:
-    """The answers of one connection.
+    """Writes the responses of one connection.
 
-    `keeps_alive` tells whether it may be used again after an answer, and is asked as that is
-    written; `on_closing` is called where the answer itself closes the connection all the same.
+    `keeps_alive` returns whether the connection stays open after a response; it is called while the
+    response head is written.  `on_closing` is called when the framing of a response requires the
+    connection to be closed.
     """
 
     def __init__(
@@ -59,11 +60,11 @@
 
     @property
     def is_mid_answer(self) -> bool:
-        """Whether an answer has begun whose body is not whole yet."""
+        """Whether a response was started whose body is not complete yet."""
         return self._is_mid_answer
 
     async def refuse(self, head: RequestHead, refusal: NotRun, status: int) -> None:
-        """Tell that the call has not run."""
+        """Send the response to a call that certainly did not run."""
         await self._stream.send(
             not_run_bytes(
                 refusal,
@@ -75,7 +76,7 @@
         )
 
     async def unknown(self, head: RequestHead, unknown: OutcomeUnknown, status: int) -> None:
-        """Tell that nobody knows whether the call has run."""
+        """Send the response to a call of which it is unknown whether it ran."""
         await self._stream.send(
             unknown_bytes(
                 unknown,
@@ -86,7 +87,7 @@
         )
 
     async def whole(self, head: RequestHead, answer: Answer, extra: bytes = b"") -> None:
-        """Send an answer whose body is whole, with further rendered header fields."""
+        """Send a response whose body is complete; `extra` holds additional rendered fields."""
         bodiless = head.method == b"HEAD" or answer.status in _BODILESS_STATUSES
         data = response_bytes(
             answer.status,
@@ -99,7 +100,7 @@
         await self._stream.send(data if bodiless else data + answer.body)
 
     async def relay(self, head: RequestHead, plan: Plan, answer: Answer, attempt: Attempt) -> None:
-        """Pass an answer on; a body that is cut ends in an aborted connection."""
+        """Relay a target's response; a truncated body aborts the caller's connection."""
         if answer.is_whole and answer.ends_by_close:
             await self._until_close(answer)
             return
@@ -132,7 +133,10 @@
             self._stream.close()
 
     async def _until_close(self, answer: Answer) -> None:
-        """Pass on an answer that has no length as it came, since nobody can tell it is whole."""
+        """Relay a response that is delimited by the end of the connection, with the same framing.
+
+        Sending it with a length would claim that the body is complete, which cannot be known.
+        """
         self._on_closing()
         head = response_bytes(answer.status, answer.fields, framing=Framing.UNTIL_CLOSE)
         await self._stream.send(head + answer.body)
@@ -152,4 +156,4 @@
     async def _next_answer_part(self, plan: Plan, attempt: Attempt) -> BodyPart | End:
         with self._timers.timeout(plan.timeout.idle_s):
             return await attempt.exchange.next_part()
-        raise StreamLostError(f"the answer stood still for {plan.timeout.idle_s:g} s")
+        raise StreamLostError(f"no data of the response body for {plan.timeout.idle_s:g} s")
--- a/packages/calls/src/acaciayard_calls/_attempt.py
+++ b/packages/calls/src/acaciayard_calls/_attempt.py
@@ -1,4 +1,4 @@
-"""One attempt of a call at one host, and what all attempts of a daemon share."""
+"""One attempt of a call at one host, and the dependencies that all calls of a daemon share."""
 
 from __future__ import annotations
 
@@ -21,33 +21,32 @@
 
 @define(eq=False)
 class Attempt:
-    """A call on its way to one host."""
+    """A call that is offered to or runs at one host."""
 
-    #: The host.
     candidate: Candidate
-    #: The conversation with it.
+    #: Carries the request to the host and the response back.
     exchange: LocalExchange | RemoteExchange
-    #: Picks hosts; told how the attempt ends.
+    #: Selects hosts and is informed of the outcome.
     _picker: Picker
-    #: When it began, by the timer service.
+    #: Start time on the clock of the timer service.
     started: float
-    #: Why this attempt was cut, empty where it was not.
-    cut_because: str = ""
-    #: Whether it was cut because nobody wanted its answer any more.
+    #: Why the attempt was aborted, empty if it was not.
+    abort_reason: str = ""
+    #: Whether it was aborted because its response is no longer needed.
     was_given_up: bool = False
-    #: Whether the host gave no sign of life in time.
+    #: Whether the host did not acknowledge the call in time.
     is_silent: bool = False
-    #: What the rollout of the service is told, `None` where it is not moving.
+    #: Receives the outcome for the rollout of the service; `None` if no rollout is in progress.
     _run: RolloutRun | None = None
     _ended: bool = False
 
     @property
-    def told_version(self) -> str:
-        """Which version has the call, as logs tell it; empty where the service is not moving."""
+    def version_suffix(self) -> str:
+        """Version of the attempt's target as a suffix for logs; empty without a rollout."""
         return f" by {self.candidate.version}" if self._run is not None else ""
 
     def end(self, outcome: Answer | NotRun | OutcomeUnknown) -> None:
-        """Tell how the attempt has ended; only the first word counts."""
+        """Report the outcome to the picker and to the rollout; later calls have no effect."""
         if not self._ended:
             self._ended = True
             exchange = self.exchange
@@ -56,14 +55,14 @@
                 self._end_run(self._run, outcome)
 
     def _end_run(self, run: RolloutRun, outcome: Answer | NotRun | OutcomeUnknown) -> None:
-        """Tell a rollout what its version has done with the call."""
+        """Report the outcome to the rollout as success, failure, refusal or no evidence."""
         match outcome:
             case Answer(lacks_inner=True):
-                run.end_untold()  # another service has failed the call
+                run.end_untold()  # caused by the failure of another service
             case Answer(status=status):
                 run.end(is_bad=status >= 500)
             case OutcomeUnknown(is_silent=is_silent) if self.was_given_up or is_silent:
-                run.end_untold()  # the caller or the whole host has gone: no word on a version
+                run.end_untold()  # the caller or the host was lost: no evidence on the version
             case OutcomeUnknown():
                 run.end(is_bad=True)
             case NotRun(is_by_target=True):
@@ -73,63 +72,61 @@
             case _:
                 run.end_refused()
 
-    def cut(self, reason: str, *, is_given_up: bool = False) -> None:
-        """End the attempt before its answer has come; `is_given_up` where nobody wants that."""
-        self.cut_because = reason
+    def abort(self, reason: str, *, is_given_up: bool = False) -> None:
+        """Abort the attempt before its response; `is_given_up` if that is no longer needed."""
+        self.abort_reason = reason
         self.was_given_up = is_given_up
         self.exchange.abort()
 
     def close(self) -> None:
-        """Release everything, cancelling the call where it has not ended."""
+        """Release all resources; cancels the call if it has not ended."""
         self.end(_GIVEN_UP)
         self.exchange.close()
 
 
-#: How an attempt counts that the caller has given up; no fault of the host.
+#: Outcome of an attempt that the caller abandoned; it is not counted against the host.
 _GIVEN_UP: Final = NotRun("given up", 0.0, is_overload=True)
 
 
 @frozen
 class Answered:
-    """A target has answered; the attempt must be closed when the answer has been relayed."""
+    """A target's response; the attempt must be closed once the response was relayed."""
 
-    #: What it said.
     answer: Answer
-    #: Where the rest of its body comes from.
+    #: Source of the rest of the response body.
     attempt: Attempt
 
 
 @frozen
 class DispatchContext:
-    """What all calls of a daemon share."""
+    """The dependencies that all calls of a daemon share."""
 
     #: Name of this host.
     host: str
-    #: Picks hosts.
+    #: Selects hosts for calls.
     picker: Picker
     #: Targets on this host.
     targets: LocalTargets
-    #: Streams to other daemons.
+    #: Pooled streams to other daemons.
     pool: StreamPool
-    #: Time.
     timers: TimerService
-    #: Randomness.
+    #: Source of random numbers.
     seed: random.Random
-    #: Promises that are checked.
+    #: Invariants that are checked at run time.
     invariants: Invariants
-    #: Names of header fields.
+    #: Names of the header fields.
     dialect: Dialect
-    #: Requests that are suspected of ending targets.
+    #: Requests that are suspected of crashing targets.
     suspects: Suspects
-    #: How many tries beyond the first are allowed.
+    #: Retry budgets of the services.
     budgets: RetryBudgets
-    #: Where second tries beside a slow first one run.
+    #: Runs hedged requests.
     tasks: anyio.abc.TaskGroup
-    #: Which versions of a service may get calls while it moves to another one.
+    #: Which versions of a service may get calls during a rollout.
     rollouts: RolloutBook = NO_ROLLOUTS
 
     def attempt(self, call: Call, candidate: Candidate, *, route: str) -> Attempt:
-        """An attempt of a call of a route that has not started yet."""
+        """Create an attempt of a call at `candidate`; it has not started yet."""
         self.picker.begin(candidate)
         run = self.rollouts.begin(
             call.service,
--- a/packages/calls/src/acaciayard_calls/_attempt_timer.py
+++ b/packages/calls/src/acaciayard_calls/_attempt_timer.py
@@ -1,4 +1,4 @@
-"""The one timer of an attempt, for whatever it must not do without for too long."""
+"""A single timer for all time limits of an attempt."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 
 @define(eq=False)
 class TimedAction:
-    """Something that happens to an attempt at a moment, unless it has ended before."""
+    """A callback that runs at a given time unless the attempt has ended before."""
 
-    #: When, by the timer service.
+    #: Time on the clock of the timer service.
     at: float
-    #: What happens.
+    #: The callback, by which `AttemptTimer.drop` also finds the action.
     act: Callable[[], None]
 
 
@@ -26,44 +26,45 @@
 
 
 class AttemptTimer:
-    """Has the limits of an attempt happen in their order, on one timer that is set anew.
+    """Runs the timed actions of an attempt in order of time, on one timer that is rescheduled.
 
-    Nearly all attempts end before most of their limits, so a timer for each would be set and
-    cancelled for nothing.
+    Nearly all attempts end before most of their limits, so that one timer for each limit would
+    nearly always be set and cancelled without firing.
 
     Example:
-        timer = AttemptTimer(timers, [Limit(no_sign_at, on_no_sign), Limit(deadline, give_up)])
-        timer.drop(on_no_sign)      # the sign has come
-        timer.cancel()              # the attempt has ended
+        actions = [TimedAction(unacknowledged_at, on_unacknowledged), TimedAction(deadline, abort)]
+        timer = AttemptTimer(timers, actions)
+        timer.drop(on_unacknowledged)   # the host has acknowledged the call
+        timer.cancel()                  # the attempt has ended
     """
 
-    def __init__(self, timers: TimerService, limits: list[TimedAction]) -> None:
+    def __init__(self, timers: TimerService, actions: list[TimedAction]) -> None:
         self._timers = timers
-        self._limits = sorted(limits, key=_BY_TIME, reverse=True)
-        self._set: Subscription | None = None
-        self._wait()
+        self._actions = sorted(actions, key=_BY_TIME, reverse=True)
+        self._subscription: Subscription | None = None
+        self._schedule()
 
     def drop(self, act: Callable[[], None]) -> None:
-        """Do without a limit; harmless where it has come already."""
-        is_next = bool(self._limits) and self._limits[-1].act == act
-        self._limits = [limit for limit in self._limits if limit.act != act]
-        if is_next and self._set is not None:
-            self._set.cancel()
-            self._wait()
+        """Remove an action; has no effect if it has already run."""
+        is_next = bool(self._actions) and self._actions[-1].act == act
+        self._actions = [action for action in self._actions if action.act != act]
+        if is_next and self._subscription is not None:
+            self._subscription.cancel()
+            self._schedule()
 
     def cancel(self) -> None:
-        """Nothing happens any more."""
-        self._limits.clear()
-        if self._set is not None:
-            self._set.cancel()
-            self._set = None
-
-    def _wait(self) -> None:
-        self._set = None
-        if self._limits:
-            self._set = self._timers.call_at(self._limits[-1].at, self._come)
-
-    def _come(self) -> None:
-        limit = self._limits.pop()
-        self._wait()
-        limit.act()
+        """Remove all actions."""
+        self._actions.clear()
+        if self._subscription is not None:
+            self._subscription.cancel()
+            self._subscription = None
+
+    def _schedule(self) -> None:
+        self._subscription = None
+        if self._actions:
+            self._subscription = self._timers.call_at(self._actions[-1].at, self._fire)
+
+    def _fire(self) -> None:
+        action = self._actions.pop()
+        self._schedule()
+        action.act()
--- a/packages/calls/src/acaciayard_calls/_call_run.py
+++ b/packages/calls/src/acaciayard_calls/_call_run.py
@@ -1,4 +1,4 @@
-"""One call on its way to a target: offers, tries, and a second try beside a slow first one."""
+"""Runs one call at a target: offers to hosts, retries and hedged requests."""
 
 from __future__ import annotations
 
@@ -21,54 +21,54 @@
 
 __all__ = ["CallRun", "no_target"]
 
-#: Statuses of a target that an idempotent call is retried after.
+#: Statuses of a target after which an idempotent call is retried.
 _RETRIED_STATUSES: Final = (500, 502, 503, 504)
-#: Hosts that a second try beside a slow first one is offered to; they take it only with a slot
-#: free, and where two of them have none the mesh is too busy for second tries.
+#: Hosts to which a hedged request is offered.  They accept it only with a free slot, and if two of
+#: them have none, the mesh is too busy for hedged requests.
 _HEDGE_OFFERS: Final = 2
-#: Seconds that a caller is told to wait where no host takes calls for the service: a daemon that
-#: has just started hears of the others within so long.
-_NO_TARGET_RETRY_AFTER: Final = 0.2
-#: Part of the time that a caller has left after which it is told to come back, from least to most:
-#: when a short crowd is over, and spread so that those who are refused together do not come back
-#: together.  Sooner they would stand before calls that can still be in time: from a tenth on, calls
-#: in their goal fell from 92 to 91 in 100 where slots lack for one call in ten.
+#: Retry-After in seconds if no host accepts calls for the service.  A daemon that has just started
+#: learns of the other hosts within this time.
+_NO_TARGET_RETRY_AFTER_S: Final = 0.2
+#: Range of the Retry-After of a call that is refused for overload, as a share of the time left to
+#: its deadline.  A short burst is over by then, and the range spreads the retries of calls that are
+#: refused together.  Earlier retries compete with calls that can still meet their latency goal:
+#: from a tenth on, calls within their goal fell from 92 to 91 in 100 with slots missing for one
+#: call in ten.
 _RETRY_AFTER_SHARES: Final = (0.2, 0.33)
-#: Seconds within which a daemon says that a call has come to it.  Between failure domains that
-#: takes 3 ms, and some more where a daemon is busy; a call that waits longer costs its caller more
-#: than a second offer does.
-_SIGN_WITHIN: Final = 0.06
+#: Seconds within which a daemon acknowledges a call.  Between failure domains this takes 3 ms, and
+#: somewhat longer if a daemon is busy; waiting longer costs the caller more than a second offer.
+_ACKNOWLEDGE_TIMEOUT_S: Final = 0.06
 
 
 @define(eq=False)
 class _Hedge:
-    """A second try that runs beside a slow first one."""
+    """A hedged request: a second attempt that runs concurrently with a slow first one."""
 
     #: Set when it has ended.
     done: anyio.Event
-    #: Its present attempt.
+    #: Its current attempt.
     attempt: Attempt | None = None
-    #: The answer that it got first.
+    #: Its response, if that came before the one of the first attempt.
     answered: Answered | None = None
-    #: Whether a target may have got the call by it.
+    #: Whether a target may have received the call through it.
     was_sent: bool = False
-    #: Whether nobody waits for it any more.
+    #: Whether its result is no longer needed.
     is_over: bool = False
 
     def give_up(self) -> None:
-        """Nobody waits for it any more."""
+        """Abort it, as its result is no longer needed."""
         self.is_over = True
         if self.attempt is not None and not self.done.is_set():
-            self.attempt.cut("the first try was answered", is_given_up=True)
+            self.attempt.abort("the first try was answered", is_given_up=True)
 
 
 class CallRun:
-    """Runs one call whose body is whole.
+    """Runs one call whose body is complete.
 
-    A call that is refused as not run is offered to further hosts.  A call that may have run is
-    tried again only where that does no harm, within its policy and the budget of its service.  A
-    slow first try is not broken off: a second one runs beside it, at a host with a slot free, and
-    the first good answer counts.
+    A call that is refused without having run is offered to further hosts.  A call that may have run
+    is retried only if it is idempotent, within its retry policy and the retry budget of its
+    service.  A slow first attempt is not aborted: a hedged request runs concurrently, at a host
+    with a free slot, and the first successful response is used.
     """
 
     def __init__(
@@ -103,23 +103,23 @@
 
     @property
     def tried(self) -> int:
-        """Tries by which the call may have run."""
+        """Number of attempts by which the call may have run."""
         return self._tried
 
     async def run(self) -> Answered | NotRun | OutcomeUnknown:
-        """Run the call to its end."""
+        """Run the call until it has a final outcome."""
         outcome = await self._run()
         if isinstance(outcome, NotRun) and outcome.is_overload:
-            return self._spread(outcome)
+            return self._with_spread_retry(outcome)
         return outcome
 
-    def _spread(self, refusal: NotRun) -> NotRun:
-        """Tell callers that are refused at one moment to come back at different ones.
+    def _with_spread_retry(self, refusal: NotRun) -> NotRun:
+        """Return the refusal with a random retry delay, so that refused callers retry spread out.
 
-        What a caller has left bounds it: it will not wait for more than a third of that.
+        The delay is at most a third of the time to the deadline.  Callers do not wait longer.
         """
-        left = max(0.0, self._call.deadline - self._timers.now())
-        seconds = left * self._parts.seed.uniform(*_RETRY_AFTER_SHARES)
+        remaining = max(0.0, self._call.deadline - self._timers.now())
+        seconds = remaining * self._parts.seed.uniform(*_RETRY_AFTER_SHARES)
         return evolve(refusal, retry_after=max(refusal.retry_after, seconds))
 
     async def _run(self) -> Answered | NotRun | OutcomeUnknown:
@@ -133,13 +133,13 @@
             if offer is None:
                 return last
             attempt = self._parts.attempt(
-                self._offered(offer), offer.candidate, route=self._plan.route.name
+                self._call_for_offer(offer), offer.candidate, route=self._plan.route.name
             )
             outcome = await self._try(attempt)
-            hedged = await self._result_of_hedge(outcome)
-            if hedged is not None:
+            hedge_result = await self._result_of_hedge(outcome)
+            if hedge_result is not None:
                 attempt.exchange.close()
-                return hedged
+                return hedge_result
             match outcome:
                 case Answer() if self._is_final(outcome):
                     return Answered(outcome, attempt)
@@ -147,15 +147,15 @@
                     attempt.exchange.close()
                     last = outcome if isinstance(last, NotRun) else last
                     self._offers.note_refused(offer, outcome)
-                    is_on_trial = self._suspicion is not None and outcome.is_overload
-                    if is_on_trial or outcome.is_barred or not self._may_offer_again(outcome):
+                    is_trial_refused = self._suspicion is not None and outcome.is_overload
+                    if is_trial_refused or outcome.is_barred or not self._may_offer_again(outcome):
                         return last
                     continue
                 case OutcomeUnknown():
                     attempt.exchange.close()
                     last = outcome
                 case Answer():
-                    last = _kept_for_later(outcome, attempt)
+                    last = _fallback_outcome(outcome, attempt)
             self._tried += 1
             if not await self._may_try_again():
                 return Answered(outcome, attempt) if isinstance(outcome, Answer) else last
@@ -163,7 +163,7 @@
             self._offers.leave_out(offer.candidate.host)
 
     def _next_offer(self) -> Offer | None:
-        """The next host; a call under suspicion goes to that of its trial and to no other."""
+        """The next host; a suspected call is offered only to the host of its trial."""
         if self._suspicion is None:
             return self._offers.next()
         key = self._suspicion.fingerprint
@@ -176,16 +176,16 @@
     def _is_final(self, answer: Answer) -> bool:
         return self._tried + 1 >= self._attempts or answer.status not in _RETRIED_STATUSES
 
-    def _offered(self, offer: Offer) -> Call:
-        """The call as it is offered to a host."""
-        call = self._numbered()
+    def _call_for_offer(self, offer: Offer) -> Call:
+        """The call as it is offered to a host, with its suspicion and its limit for queueing."""
+        call = self._with_attempt_number()
         start_by = call.start_by if offer.may_wait else self._timers.now()
         if start_by == call.start_by and call.suspicion is self._suspicion:
             return call
         return call.with_changes(start_by=start_by, suspicion=self._suspicion)
 
-    def _numbered(self) -> Call:
-        """The call with the number of its attempt, for the services behind not to retry as well."""
+    def _with_attempt_number(self) -> Call:
+        """The call with its attempt number as a header, so that services behind do not retry it."""
         name = self._parts.dialect.attempt
         if self._tried == 0:
             return self._call
@@ -195,27 +195,29 @@
     # --- one attempt --------------------------------------------------------------------------
 
     async def _try(self, attempt: Attempt) -> Answer | NotRun | OutcomeUnknown:
-        """Make one attempt."""
+        """Make one attempt, with a hedged request beside it if it is slow or unacknowledged."""
         self._current = attempt
         self._watch.follow(attempt.exchange)
-        limits = []
+        actions = []
         if not attempt.exchange.is_acknowledged:
-            limits.append(TimedAction(attempt.started + _SIGN_WITHIN, self._on_no_sign))
+            actions.append(
+                TimedAction(attempt.started + _ACKNOWLEDGE_TIMEOUT_S, self._on_unacknowledged)
+            )
         slow_at = attempt.started + self._plan.retry.per_try_s
         if self._may_hedge() and slow_at < self._call.deadline:
-            limits.append(TimedAction(slow_at, self._on_slow))
-        return await self._finish(attempt, limits)
+            actions.append(TimedAction(slow_at, self._on_slow))
+        return await self._finish(attempt, actions)
 
     async def _finish(
-        self, attempt: Attempt, limits: Sequence[TimedAction] = ()
+        self, attempt: Attempt, actions: Sequence[TimedAction] = ()
     ) -> Answer | NotRun | OutcomeUnknown:
-        """Make one attempt and tell how it has ended."""
+        """Make one attempt and report its outcome."""
         known = self._suspects.of(self._call)
         expiry = TimedAction(
-            self._call.deadline, lambda: attempt.cut("no answer before the deadline")
+            self._call.deadline, lambda: attempt.abort("no answer before the deadline")
         )
-        timer = AttemptTimer(self._timers, [*limits, expiry])
-        attempt.exchange.on_acknowledged(lambda: timer.drop(self._on_no_sign))
+        timer = AttemptTimer(self._timers, [*actions, expiry])
+        attempt.exchange.on_acknowledged(lambda: timer.drop(self._on_unacknowledged))
         outcome: Answer | NotRun | OutcomeUnknown
         try:
             outcome = await attempt.exchange.start() or await attempt.exchange.answer()
@@ -224,22 +226,22 @@
             raise
         finally:
             timer.cancel()
-        if attempt.cut_because and isinstance(outcome, OutcomeUnknown):
-            outcome = evolve(outcome, reason=attempt.cut_because, is_silent=attempt.is_silent)
+        if attempt.abort_reason and isinstance(outcome, OutcomeUnknown):
+            outcome = evolve(outcome, reason=attempt.abort_reason, is_silent=attempt.is_silent)
         attempt.was_given_up = attempt.was_given_up or self._watch.is_given_up
         attempt.end(outcome)
         if isinstance(outcome, NotRun) and not outcome.is_by_target:
             self._check_not_run(attempt)
         if isinstance(outcome, OutcomeUnknown) and outcome.is_blamed:
-            # What the target's daemon tells all comes some milliseconds later.
+            # The report that the target's daemon broadcasts arrives some milliseconds later.
             self._suspects.note_end(self._call, known, is_own=False)
         ms = round((self._timers.now() - attempt.started) * 1000, 1)
-        told = _told(outcome) + attempt.told_version
-        self._watch.tries.append(Try(attempt.candidate.host, told, ms))
+        description = _describe(outcome) + attempt.version_suffix
+        self._watch.tries.append(Try(attempt.candidate.host, description, ms))
         return outcome
 
     def _check_not_run(self, attempt: Attempt) -> None:
-        """A local refusal must come before the first byte to the target."""
+        """Check the invariant that a local refusal precedes the first byte sent to the target."""
         if isinstance(attempt.exchange, LocalExchange):
             self._parts.invariants.expect(not attempt.exchange.was_sent, Invariant.NOT_RUN_IS_TRUE)
 
@@ -248,52 +250,55 @@
             return False
         if self._timers.now() >= self._call.deadline:
             return False
-        # A gate's refusal is no arrival at a target, so it costs nothing of the retry budget.
-        return not refusal.is_by_target or self._take_repeat()
+        # A call that a gate refuses has not reached a target, so it does not use the retry budget.
+        return not refusal.is_by_target or self._take_retry_budget()
 
     async def _may_try_again(self) -> bool:
-        """Wait before a retry; false when the budget or the time does not allow one."""
+        """Wait for the backoff before a retry; false if the budget or deadline rules one out."""
         if self._watch.is_given_up or self._tried >= self._attempts:
             return False
         factor = 2 ** (self._tried - 1) * self._parts.seed.uniform(0.5, 1.5)
-        pause = self._plan.retry.backoff_ms / 1000 * factor
-        if self._timers.now() + pause >= self._call.deadline or not self._take_repeat():
+        delay = self._plan.retry.backoff_ms / 1000 * factor
+        if self._timers.now() + delay >= self._call.deadline or not self._take_retry_budget():
             return False
-        if pause > 0:
-            await self._timers.sleep(pause)
+        if delay > 0:
+            await self._timers.sleep(delay)
         return True
 
-    def _take_repeat(self) -> bool:
+    def _take_retry_budget(self) -> bool:
         return self._parts.budgets.take(self._plan.service.name)
 
-    # --- a second try beside a slow first one -------------------------------------------------
+    # --- hedged requests ----------------------------------------------------------------------
 
     def _may_hedge(self) -> bool:
         is_sole = self._hedge is None and self._suspicion is None
         return is_sole and self._tried + 1 < self._attempts
 
-    def _on_no_sign(self) -> None:
-        """The host should have said by now that the call has come.
+    def _on_unacknowledged(self) -> None:
+        """Handle a host that has not acknowledged the call in time.
 
-        A host that lost its power or its links stays silent for good.  A call that it never took
-        goes elsewhere; one that it may run is tried elsewhere beside it.
+        A host that lost power or network access never responds.  A call that it cannot run without
+        a further message is aborted and offered to another host; for a call that it may run, a
+        hedged request is started.
         """
         attempt = self._current
         if attempt is None or attempt.exchange.is_acknowledged:
             return
         attempt.is_silent = True
         if not attempt.exchange.is_committed:
-            attempt.cut(f"no sign from the host within {_SIGN_WITHIN:g} s")
+            attempt.abort(
+                f"the host did not acknowledge the call within {_ACKNOWLEDGE_TIMEOUT_S:g} s"
+            )
             return
         self._parts.picker.note_silent(attempt.candidate)
         self._start_hedge(self._call)
 
     def _on_slow(self) -> None:
-        """Only a host with a slot free may take the second try: it is not to wait for one."""
+        """Start a hedged request that only a host with a free slot may accept, without queueing."""
         self._start_hedge(self._call.with_changes(start_by=self._timers.now()))
 
     def _start_hedge(self, call: Call) -> None:
-        if not self._may_hedge() or self._current is None or not self._take_repeat():
+        if not self._may_hedge() or self._current is None or not self._take_retry_budget():
             return
         self._hedge = _Hedge(anyio.Event())
         avoid = {*self._offers.tried, self._current.candidate.host}
@@ -311,7 +316,7 @@
                 self._watch.follow(hedge.attempt.exchange)
                 outcome = await self._finish(hedge.attempt)
                 if isinstance(outcome, Answer) and not hedge.is_over:
-                    self._win(hedge, outcome)
+                    self._accept_hedge(hedge, outcome)
                     return
                 hedge.attempt.exchange.close()
                 if not isinstance(outcome, NotRun) or outcome.is_by_target:
@@ -323,7 +328,7 @@
                 self._parts.budgets.give_back(self._plan.service.name)
             hedge.done.set()
 
-    def _win(self, hedge: _Hedge, answer: Answer) -> None:
+    def _accept_hedge(self, hedge: _Hedge, answer: Answer) -> None:
         hedge.was_sent = True
         assert hedge.attempt is not None
         if answer.status in _RETRIED_STATUSES:
@@ -331,10 +336,10 @@
             return
         hedge.answered = Answered(answer, hedge.attempt)
         if self._current is not None:
-            self._current.cut("another host answered first", is_given_up=True)
+            self._current.abort("another host answered first", is_given_up=True)
 
     async def _result_of_hedge(self, first: Answer | NotRun | OutcomeUnknown) -> Answered | None:
-        """The answer of the second try, where it came first or the first one failed."""
+        """The response of the hedged request, if it came first or the first attempt failed."""
         hedge = self._hedge
         if hedge is None or hedge.is_over:
             return None
@@ -348,8 +353,8 @@
         return hedge.answered
 
 
-def _told(outcome: Answer | NotRun | OutcomeUnknown) -> str:
-    """An outcome as logs tell it."""
+def _describe(outcome: Answer | NotRun | OutcomeUnknown) -> str:
+    """An outcome as it appears in logs."""
     match outcome:
         case Answer(status=status):
             return f"answer {status}"
@@ -359,10 +364,10 @@
             return f"unknown: {reason}"
 
 
-def _kept_for_later(answer: Answer, attempt: Attempt) -> Answered | OutcomeUnknown:
-    """What is told of a failed attempt when none after it comes further.
+def _fallback_outcome(answer: Answer, attempt: Attempt) -> Answered | OutcomeUnknown:
+    """The outcome that is reported for a failed attempt if no later attempt improves on it.
 
-    The call has run, so whatever refuses it later, it cannot be told as not run.
+    The call has run, so that it must not be reported as not run if later offers are refused.
     """
     if answer.is_whole:
         return Answered(answer, attempt)
@@ -370,8 +375,10 @@
 
 
 def no_target(plan: Plan, rollouts: RolloutBook) -> NotRun:
-    """The refusal where no host takes calls for the service."""
+    """The refusal for a service for which no host accepts calls."""
     versions = rollouts.versions(plan.service.name)
     if versions.refusal:
         return NotRun(versions.refusal, versions.retry_after)
-    return NotRun(f"no target of service {plan.service.name!r} takes calls", _NO_TARGET_RETRY_AFTER)
+    return NotRun(
+        f"no target of service {plan.service.name!r} takes calls", _NO_TARGET_RETRY_AFTER_S
+    )
--- a/packages/calls/src/acaciayard_calls/_caller.py
+++ b/packages/calls/src/acaciayard_calls/_caller.py
@@ -1,4 +1,4 @@
-"""One caller's connection: who reads it, whose turn it is, and when it ends."""
+"""One caller's connection: reading requests, ordering responses, and closing."""
 
 from __future__ import annotations
 
@@ -13,24 +13,24 @@
 from ._answers import AnswerWriter
 from ._intake import EntryContext
 from ._pipeline import CallerRequest, RequestPipeline
-from ._refusals import RejectedError, fault_bytes
+from ._refusals import RejectedError, error_bytes
 from ._request_runs import ConnectionParts, RequestRuns
 
 __all__ = ["CallerConnection"]
 
-#: Seconds and bytes spent on reading the rest of a refused request, so that its sender gets to
-#: read the answer.
-_LINGER: Final = 1.0
+#: Seconds and bytes spent on reading the rest of a refused request before closing, since closing
+#: with unread data resets the connection and the caller might lose the response.
+_LINGER_S: Final = 1.0
 _LINGER_BYTES: Final = 4 * 1024 * 1024
-#: Why a request that was read did not run, or its answer was not sent.
-_BEHIND_CLOSING: Final = "an answer before it closed the connection"
+#: Reason of a request that did not run, or whose response was not sent, as the connection closed.
+_CLOSED_BEFORE_TURN: Final = "an answer before it closed the connection"
 
 
 class CallerConnection:
-    """Reads requests, has them run, and writes the answers in the order of the requests.
+    """Reads requests, runs them, and writes the responses in the order of the requests.
 
-    One task at a time reads; it runs what it has read itself.  Only where further bytes come while
-    a request runs that lets others pass is another task started, which reads on.
+    One task at a time reads the connection, and runs the request that it has read.  A further task
+    is started only if more bytes arrive while the request may run concurrently with later ones.
     """
 
     def __init__(self, stream: ByteStream, context: EntryContext) -> None:
@@ -40,9 +40,9 @@
         self._reader = RequestReader(stream, context.limits)
         self._pipeline = RequestPipeline()
         self._is_reading = False
-        self._is_over = False
-        self._helpers = 0
-        self._helpers_ended: anyio.Event | None = None
+        self._is_closing = False
+        self._extra_readers = 0
+        self._extra_readers_ended: anyio.Event | None = None
         self._idle_since = self._timers.now()
         self._answers = AnswerWriter(
             stream,
@@ -57,8 +57,8 @@
                 reader=self._reader,
                 pipeline=self._pipeline,
                 answers=self._answers,
-                turn_of=self._turn_of,
-                read_on=self._read_on,
+                wait_turn=self._wait_turn,
+                read_ahead=self._read_ahead,
             ),
             context,
         )
@@ -68,17 +68,17 @@
         """Requests that are being served."""
         return len(self._pipeline)
 
-    def close_if_late(self) -> None:
-        """Close the connection if its next request is not whole after a long time.
+    def close_if_timed_out(self) -> None:
+        """Close the connection if its next request did not arrive completely within the idle time.
 
-        Called now and then for all connections, which costs a request less than a timer does.
+        Called periodically for all connections, which is cheaper than one timer per request.
         """
         if self.running or self._timers.now() - self._idle_since < self._context.idle_for:
             return
         if self._reader.is_mid_head:
             with contextlib.suppress(StreamLostError):
-                late = HttpError(408, "the request came too slowly")
-                self._stream.send_nowait(fault_bytes(late, may_have_run=False))
+                timeout_error = HttpError(408, "the request head did not arrive in time")
+                self._stream.send_nowait(error_bytes(timeout_error, may_have_run=False))
         self._stream.close()
 
     def close_if_idle(self) -> None:
@@ -87,134 +87,139 @@
             self._stream.close()
 
     def _keeps_alive(self, head: RequestHead) -> bool:
-        """Whether the connection may be used again after the answer that is written now.
+        """Whether the connection stays open after the response that is written now.
 
-        A connection that stops ends after what may be running: a caller sends again what lies
-        behind an answer that closes.
+        While the daemon stops, a connection closes only after the last request that may be running,
+        since callers resend the requests behind a response that closes the connection.
         """
         first = self._pipeline.first
         if not head.keep_alive or first is None or first.body_unread:
-            self._is_over = True
+            self._is_closing = True
         elif self._context.is_stopping:
-            self._is_over = self._is_over or not self._pipeline.has_concurrent_request
-        return not self._is_over
+            self._is_closing = self._is_closing or not self._pipeline.has_concurrent_request
+        return not self._is_closing
 
     def _note_closing(self) -> None:
-        self._is_over = True
+        self._is_closing = True
 
     async def run(self) -> None:
         """Serve requests until the caller closes or something ends the connection."""
-        await self._take_requests()
-        if self._helpers:
-            self._helpers_ended = anyio.Event()
-            await self._helpers_ended.wait()
+        await self._serve_requests()
+        if self._extra_readers:
+            self._extra_readers_ended = anyio.Event()
+            await self._extra_readers_ended.wait()
 
-    async def _take_requests(self) -> None:
-        """Read requests and serve them, until another task goes on or the connection ends."""
+    async def _serve_requests(self) -> None:
+        """Read and serve requests until another task takes over or the connection ends."""
         request: CallerRequest | None = None
         try:
             while True:
                 self._is_reading = True
                 head = await self._reader.next_head()
-                if head is None or self._is_over:
-                    return  # and nobody reads on
+                if head is None or self._is_closing:
+                    return  # `_is_reading` stays set, so that no other task reads
                 if self._context.is_stopping and self._pipeline.first is not None:
-                    return  # the connection ends after what is under way
+                    return  # the connection closes after the requests in progress
                 self._is_reading = False
                 request = CallerRequest(
                     head, self._timers.now(), body_unread=head.framing is not Framing.NONE
                 )
                 self._pipeline.begin(request)
                 await self._serve(request)
-                request = None  # what fails from here on is no fault of its
-                if self._is_over:
+                request = None  # errors from here on are not caused by this request
+                if self._is_closing:
                     break
                 if self._is_reading or self._pipeline.first is not None:
-                    self._read_on()
+                    self._read_ahead()
                     return
             self._stream.close()
         except* HttpError as group:
-            await self._report_fault(group, request)
-            self._end()
+            await self._send_error(group, request)
+            self._close()
         except* StreamLostError:
-            self._end()  # the caller is gone; there is nobody to tell
+            self._close()  # the caller has disconnected, so no response can be sent
 
-    def _end(self) -> None:
-        """Nothing more is read, and what waits for its turn does not start."""
-        self._is_over = True
+    def _close(self) -> None:
+        """Close the connection; requests that wait for earlier ones do not start."""
+        self._is_closing = True
         self._stream.close()
 
     # --- reading ------------------------------------------------------------------------------
 
-    def _read_on(self) -> None:
-        """Have another task read on where bytes wait and the requests under way allow it."""
+    def _read_ahead(self) -> None:
+        """Start a task that reads ahead, if data is available and the pipeline permits it."""
         tasks = self._context.tasks
-        if tasks is None or self._is_reading or self._is_over or not self._pipeline.may_read_ahead:
+        if (
+            tasks is None
+            or self._is_reading
+            or self._is_closing
+            or not self._pipeline.may_read_ahead
+        ):
             return
         if self._stream.has_unread or self._reader.has_pending:
             self._is_reading = True
-            self._helpers += 1
-            tasks.start_soon(self._help)
+            self._extra_readers += 1
+            tasks.start_soon(self._run_extra_reader)
 
-    async def _help(self) -> None:
-        """Serve requests beside earlier ones; what fails here ends the connection alone."""
+    async def _run_extra_reader(self) -> None:
+        """Serve requests concurrently with earlier ones; an error ends only this connection."""
         try:
-            await self._take_requests()
+            await self._serve_requests()
         except Exception as error:
-            self._is_over = True
+            self._is_closing = True
             self._stream.abort()
             self._context.events.connection_failed(error)
         finally:
-            self._helpers -= 1
-            if not self._helpers and self._helpers_ended is not None:
-                self._helpers_ended.set()
+            self._extra_readers -= 1
+            if not self._extra_readers and self._extra_readers_ended is not None:
+                self._extra_readers_ended.set()
 
-    async def _turn_of(self, request: CallerRequest) -> None:
-        """Wait until the requests before this one are answered."""
-        since = self._timers.now()
+    async def _wait_turn(self, request: CallerRequest) -> None:
+        """Wait until all earlier requests are answered; raises `StreamLostError` if closing."""
+        wait_started = self._timers.now()
         try:
             await request.wait()
         finally:
-            request.ended.held_ms += round((self._timers.now() - since) * 1000, 1)
-        if self._is_over and not request.runs_concurrently:
-            request.note("not_run", 0, _BEHIND_CLOSING)
-        if self._is_over:
-            raise StreamLostError(_BEHIND_CLOSING)
+            request.ended.held_ms += round((self._timers.now() - wait_started) * 1000, 1)
+        if self._is_closing and not request.runs_concurrently:
+            request.note("not_run", 0, _CLOSED_BEFORE_TURN)
+        if self._is_closing:
+            raise StreamLostError(_CLOSED_BEFORE_TURN)
 
     # --- faults -------------------------------------------------------------------------------
 
-    async def _report_fault(
+    async def _send_error(
         self, group: ExceptionGroup[HttpError], request: CallerRequest | None
     ) -> None:
         if self._answers.is_mid_answer:
             self._stream.abort()
             return
-        if request is None:  # no request could be read; that is told in its turn
+        if request is None:  # the malformed request is answered after the earlier ones
             await self._pipeline.all_ended()
-            if self._is_over:
+            if self._is_closing:
                 return
         fault = group.exceptions[0]
         assert isinstance(fault, HttpError)
         may_have_run = request is not None and request.is_handed_over
         try:
-            await self._stream.send(fault_bytes(fault, may_have_run=may_have_run))
+            await self._stream.send(error_bytes(fault, may_have_run=may_have_run))
             await self._linger()
         except StreamLostError:
-            pass  # the caller is gone; there is nobody to tell
+            pass  # the caller has disconnected, so no response can be sent
 
     async def _linger(self) -> None:
-        left = _LINGER_BYTES
-        with self._timers.timeout(_LINGER):
-            while left > 0:
+        remaining = _LINGER_BYTES
+        with self._timers.timeout(_LINGER_S):
+            while remaining > 0:
                 data = await self._stream.receive()
                 if not data:
                     return
-                left -= len(data)
+                remaining -= len(data)
 
     # --- one request --------------------------------------------------------------------------
 
     async def _serve(self, request: CallerRequest) -> None:
-        """Serve a request, and note where the connection cannot be used again."""
+        """Serve a request, and record whether the connection can be used again."""
         self._context.served += 1
         is_answered = False
         try:
@@ -226,19 +231,19 @@
             request.note("rejected", rejected.status, rejected.refusal.reason)
             request.ended.retry_after = rejected.refusal.retry_after
             if self._pipeline.first is not request:
-                await self._turn_of(request)
+                await self._wait_turn(request)
             await self._answers.refuse(request.head, rejected.refusal, rejected.status)
             is_answered = True
         except HttpError as fault:
             request.note("rejected", fault.status, fault.reason)
             if self._pipeline.first is not request:
-                await self._turn_of(request)
+                await self._wait_turn(request)
             raise
         finally:
             self._idle_since = self._timers.now()
             request.ended.ms = round((self._idle_since - request.started) * 1000, 1)
             if not is_answered or self._context.is_stopping:
-                self._is_over = not (is_answered and self._keeps_alive(request.head))
+                self._is_closing = not (is_answered and self._keeps_alive(request.head))
             self._pipeline.end(request)
             if self._pipeline.first is None:
                 self._stream.watch_lost(None)
--- a/packages/calls/src/acaciayard_calls/_claimer.py
+++ b/packages/calls/src/acaciayard_calls/_claimer.py
@@ -1,4 +1,4 @@
-"""Claims keys for calls that this daemon makes, wherever the home of the key is."""
+"""Claims idempotency keys for calls of this daemon, and coordinates claims of other daemons."""
 
 from __future__ import annotations
 
@@ -35,31 +35,31 @@
 from ._attempt import Answered
 from ._claims import ClaimCoordinator
 
-__all__ = ["AlreadyClaimed", "AnswerStore", "Claimed", "Claimer", "kept_of"]
+__all__ = ["AlreadyClaimed", "AnswerStore", "Claimed", "Claimer", "stored_outcome_of"]
 
 _Reply = TypeVar("_Reply", ClaimAnswer, OutcomeAnswer)
 
-#: Streams of the log over which keys are spread.
+#: Number of log streams over which keys are sharded.
 SHARDS: Final = 16
-#: Daemons that are asked in turn about a key.
-_HOMES: Final = 3
-#: Seconds for a claim.
-_CLAIM_WITHIN: Final = 2.0
-#: Seconds for the release of a claim.
-_RELEASE_WITHIN: Final = 5.0
-#: Bytes of answers that are kept for repeated calls.
-_STORE_BYTES: Final = 4 * 1024 * 1024
+#: Maximum number of daemons to which a claim is sent, one after another.
+_MAX_COORDINATORS: Final = 3
+#: Timeout of a claim in seconds.
+_CLAIM_TIMEOUT_S: Final = 2.0
+#: Timeout of a release in seconds.
+_RELEASE_TIMEOUT_S: Final = 5.0
+#: Maximum size in bytes of the responses that are stored for repeated calls.
+_MAX_STORE_BYTES: Final = 4 * 1024 * 1024
 _ENTRY_OVERHEAD: Final = 500
-#: Largest answer that is kept for callers that repeat a call with a key.
-_LARGEST_KEPT: Final = 256 * 1024
+#: Size in bytes of the largest response body that is stored for repeated calls with a key.
+_MAX_STORED_BODY: Final = 256 * 1024
 _KEY_BYTES: Final = 16
-_RETRY_AFTER: Final = 1.0
-_FREED_SOON: Final = NotRun("the call with this key has not run, its key is free soon", 1.0)
+_RETRY_AFTER_S: Final = 1.0
+_RELEASE_PENDING: Final = NotRun("the call with this key has not run, its key is free soon", 1.0)
 
 
 @frozen
 class Claimed:
-    """The key is held for one call of this daemon."""
+    """A key was claimed for a call of this daemon."""
 
     #: Digest of the key with its scope.
     key: bytes
@@ -69,11 +69,11 @@
 
 @frozen
 class AlreadyClaimed:
-    """Another call has the key."""
+    """Another call has already claimed the key."""
 
-    #: Identity of its claim.
+    #: Identity of the other call's claim.
     claim: bytes
-    #: Host whose daemon made the call.
+    #: Host whose daemon made the other call.
     host: str
 
 
@@ -84,7 +84,7 @@
 
 
 class AnswerStore:
-    """Answers to calls with keys, kept in memory for callers that repeat them."""
+    """Outcomes of calls with keys, kept in memory for callers that repeat them."""
 
     def __init__(self, timers: TimerService) -> None:
         self._timers = timers
@@ -92,23 +92,23 @@
         self._bytes = 0
 
     def begin(self, claim: bytes) -> None:
-        """A call is about to be made."""
+        """Create the entry of a call that is about to run."""
         self._entries[claim] = _Entry()
 
     def finish(self, claim: bytes, answer: Answer | NotRun | None) -> None:
-        """The call has ended; `None` when nobody can tell how."""
+        """Store the outcome of a call, `None` if it is unknown; evicts the oldest entries."""
         entry = self._entries.get(claim)
         if entry is None:
             return
         entry.answer = answer
         self._bytes += _size_of(entry)
         entry.done.set()
-        while self._bytes > _STORE_BYTES and self._entries:
+        while self._bytes > _MAX_STORE_BYTES and self._entries:
             _, dropped = self._entries.popitem(last=False)
             self._bytes -= _size_of(dropped)
 
     async def find(self, claim: bytes, *, within: float) -> Answer | NotRun | None:
-        """How a call ended, waiting for its end; `None` when that is not kept."""
+        """Wait up to `within` seconds for the outcome of a call; `None` if it is not stored."""
         entry = self._entries.get(claim)
         if entry is None:
             return None
@@ -124,7 +124,7 @@
 
 
 class Claimer:
-    """The claims of one daemon: those it makes and those it is the home of."""
+    """Claims keys for calls of this daemon, and serves as coordinator for some of the streams."""
 
     def __init__(
         self, *, table: MemberTable, log: LogService, port: ControlPort, timers: TimerService
@@ -133,7 +133,7 @@
         self._log = log
         self._port = port
         self._timers = timers
-        self._homes: dict[int, ClaimCoordinator] = {}
+        self._coordinators: dict[int, ClaimCoordinator] = {}
         self._store = AnswerStore(timers)
         self._pool = StreamPool(self._open, timers=timers)
         self._tasks: anyio.abc.TaskGroup | None = None
@@ -143,21 +143,21 @@
 
     @property
     def store(self) -> AnswerStore:
-        """Answers kept for callers that repeat a call."""
+        """Outcomes that are stored for callers that repeat a call."""
         return self._store
 
     @property
     def appends(self) -> int:
-        """Records that this daemon appended as a home."""
-        return sum(home.appends for home in self._homes.values())
+        """Number of append requests that this daemon sent as a coordinator."""
+        return sum(coordinator.appends for coordinator in self._coordinators.values())
 
     @property
     def claims(self) -> int:
-        """Claims that this daemon took as a home."""
-        return sum(home.claims for home in self._homes.values())
+        """Number of claims that this daemon received as a coordinator."""
+        return sum(coordinator.claims for coordinator in self._coordinators.values())
 
     async def run(self) -> None:
-        """Keep the streams to homes in order and release claims, for ever."""
+        """Maintain the streams to coordinators and release claims; never returns."""
         async with anyio.create_task_group() as tasks:
             self._tasks = tasks
             await self._pool.run()
@@ -165,39 +165,39 @@
     # --- for calls of this daemon -------------------------------------------------------------
 
     async def claim(self, scope: str, key: bytes) -> Claimed | AlreadyClaimed | NotRun:
-        """Claim a caller's key for one call."""
+        """Claim a caller's key within `scope` for one call."""
         digest = hashlib.blake2b(key, digest_size=_KEY_BYTES, person=_person(scope)).digest()
         claim = secrets.token_bytes(_KEY_BYTES)
         request = ClaimRequest(digest, claim, self._table.own.host)
         self._store.begin(claim)
-        answer = await self._ask_home(request)
+        answer = await self._ask_coordinator(request)
         if answer.granted:
             return Claimed(digest, claim)
         self._store.finish(claim, None)
         if answer.holder:
             return AlreadyClaimed(answer.holder, answer.host)
-        return NotRun(f"the key cannot be claimed: {answer.reason}", _RETRY_AFTER)
+        return NotRun(f"the key cannot be claimed: {answer.reason}", _RETRY_AFTER_S)
 
-    async def _ask_home(self, request: ClaimRequest) -> ClaimAnswer:
-        """Ask the home of a key, or the next one where that is gone.
+    async def _ask_coordinator(self, request: ClaimRequest) -> ClaimAnswer:
+        """Send a claim to the coordinator of its key, or to the next one if that does not answer.
 
-        Which home is asked decides nothing; the order of the log does.
+        The result does not depend on which of them is asked, since the order of the log decides.
         """
-        with self._timers.timeout(_CLAIM_WITHIN):
-            for home in self._homes_of(request.key):
-                if home.host == self._table.own.host:
-                    return await self._own_home(request.key).claim(request)
-                answer = await self._ask(home, request, ClaimAnswer)
+        with self._timers.timeout(_CLAIM_TIMEOUT_S):
+            for coordinator in self._coordinators_of(request.key):
+                if coordinator.host == self._table.own.host:
+                    return await self._own_coordinator(request.key).claim(request)
+                answer = await self._ask(coordinator, request, ClaimAnswer)
                 if answer is not None:
                     return answer
-            return ClaimAnswer(False, b"", "", "no home of the key answers")
-        return ClaimAnswer(False, b"", "", f"no answer within {_CLAIM_WITHIN:g} s")
+            return ClaimAnswer(False, b"", "", "no coordinator of the key answers")
+        return ClaimAnswer(False, b"", "", f"no answer within {_CLAIM_TIMEOUT_S:g} s")
 
     def finish(self, claimed: Claimed, answer: Answer | NotRun | None) -> None:
-        """The call has ended; a key whose call has certainly not run is freed, best effort.
+        """Store the outcome of a call; releases the key, best effort, if the call did not run.
 
-        The caller has its answer at once, before the key is free; who repeats the call meanwhile
-        is told `NotRun` again.
+        The caller gets its response before the key is released.  A call that is repeated in the
+        meantime is refused with `NotRun` again.
         """
         self._store.finish(claimed.claim, answer)
         if isinstance(answer, NotRun) and self._tasks is not None:
@@ -205,34 +205,34 @@
 
     async def _release(self, claimed: Claimed) -> None:
         request = ReleaseRequest(claimed.key, claimed.claim)
-        with self._timers.timeout(_RELEASE_WITHIN):
-            home = self._homes_of(claimed.key)[0]
-            if home.host == self._table.own.host:
-                await self._own_home(claimed.key).release(request)
+        with self._timers.timeout(_RELEASE_TIMEOUT_S):
+            coordinator = self._coordinators_of(claimed.key)[0]
+            if coordinator.host == self._table.own.host:
+                await self._own_coordinator(claimed.key).release(request)
             else:
-                await self._ask(home, request, ClaimAnswer)
+                await self._ask(coordinator, request, ClaimAnswer)
 
     async def earlier_answer(
-        self, taken: AlreadyClaimed, *, within: float
+        self, already_claimed: AlreadyClaimed, *, within: float
     ) -> Answer | NotRun | None:
-        """How the call that holds a key ended, `None` when nobody can tell."""
-        if taken.host == self._table.own.host:
-            return await self._store.find(taken.claim, within=within)
-        member = self._table.find(taken.host)
+        """The outcome of the call that claimed a key, `None` if it is unknown."""
+        if already_claimed.host == self._table.own.host:
+            return await self._store.find(already_claimed.claim, within=within)
+        member = self._table.find(already_claimed.host)
         if member is None or not member.is_present:
             return None
         reply: OutcomeAnswer | None = None
         with self._timers.timeout(within):
-            request = OutcomeRequest(taken.claim, within)
+            request = OutcomeRequest(already_claimed.claim, within)
             reply = await self._ask(member, request, OutcomeAnswer)
         if reply is None or not (reply.is_known or reply.is_not_run):
             return None
         if reply.is_not_run:
-            return _FREED_SOON
+            return _RELEASE_PENDING
         return Answer(reply.status, reply.fields, reply.body, True, len(reply.body))
 
     async def _ask(self, member: Member, request: object, expected: type[_Reply]) -> _Reply | None:
-        """Ask another daemon; `None` when it does not answer."""
+        """Send a request to another daemon; `None` if there is no valid reply."""
         try:
             stream = await self._pool.take(member.control)
         except StreamLostError:
@@ -254,19 +254,19 @@
     async def _open(self, address: Address) -> MessageStream:
         return await self._port.connect(address, Purpose.CLAIMS)
 
-    # --- as a home ----------------------------------------------------------------------------
+    # --- as a coordinator ---------------------------------------------------------------------
 
-    def _homes_of(self, key: bytes) -> tuple[Member, ...]:
-        """The home of a key, and those that stand in for it."""
-        return rendezvous(f"claims:{_shard_of(key)}", self._table.present(), _HOMES)
+    def _coordinators_of(self, key: bytes) -> tuple[Member, ...]:
+        """The coordinator of a key, followed by its substitutes."""
+        return rendezvous(f"claims:{_shard_of(key)}", self._table.present(), _MAX_COORDINATORS)
 
-    def _own_home(self, key: bytes) -> ClaimCoordinator:
+    def _own_coordinator(self, key: bytes) -> ClaimCoordinator:
         shard = _shard_of(key)
-        home = self._homes.get(shard)
-        if home is None:
-            home = ClaimCoordinator(f"claims-{shard}", log=self._log, timers=self._timers)
-            self._homes[shard] = home
-        return home
+        coordinator = self._coordinators.get(shard)
+        if coordinator is None:
+            coordinator = ClaimCoordinator(f"claims-{shard}", log=self._log, timers=self._timers)
+            self._coordinators[shard] = coordinator
+        return coordinator
 
     async def _serve(self, first: object, stream: MessageStream) -> None:
         request = first
@@ -277,9 +277,9 @@
     async def _reply(self, request: object) -> ClaimAnswer | OutcomeAnswer:
         match request:
             case ClaimRequest(key):
-                return await self._own_home(key).claim(request)
+                return await self._own_coordinator(key).claim(request)
             case ReleaseRequest(key, claim):
-                await self._own_home(key).release(request)
+                await self._own_coordinator(key).release(request)
                 return ClaimAnswer(False, b"", "", "released")
             case OutcomeRequest(claim, within):
                 answer = await self._store.find(claim, within=within)
@@ -298,10 +298,10 @@
     return hashlib.blake2b(scope.encode(), digest_size=_KEY_BYTES).digest()
 
 
-def kept_of(outcome: Answered | NotRun | OutcomeUnknown) -> Answer | NotRun | None:
-    """What is kept for callers that repeat a call, `None` when nobody can tell how it ended."""
+def stored_outcome_of(outcome: Answered | NotRun | OutcomeUnknown) -> Answer | NotRun | None:
+    """The outcome that is stored for repeated calls, `None` if it is unknown or too large."""
     match outcome:
-        case Answered(answer) if answer.is_whole and len(answer.body) <= _LARGEST_KEPT:
+        case Answered(answer) if answer.is_whole and len(answer.body) <= _MAX_STORED_BODY:
             return answer
         case NotRun():
             return outcome
--- a/packages/calls/src/acaciayard_calls/_claims.py
+++ b/packages/calls/src/acaciayard_calls/_claims.py
@@ -1,8 +1,8 @@
-"""Claims of idempotency keys: of all calls with one key, at most one is made.
+"""Claims of idempotency keys, which ensure that at most one call runs per key.
 
-The log decides: of the claims of a key that stand in its stream the first one holds, and a claim
-that was released holds no more.  One daemon per stream, its home, gathers claims into batches; two
-daemons that both take themselves for the home are told apart by the order of the log.
+The order of a log stream decides: the first claim of a key in the stream is valid until it is
+released.  For each stream, one daemon acts as coordinator and appends claims in batches.  If two
+daemons take themselves for the coordinator, the order of their records in the log decides.
 """
 
 from __future__ import annotations
@@ -28,44 +28,44 @@
 
 __all__ = ["ClaimCoordinator", "ClaimHolder", "ClaimTable"]
 
-#: Claims in one record.
-_BATCH: Final = 512
-#: Records read at once.
+#: Maximum number of claims and releases in one record.
+_MAX_BATCH: Final = 512
+#: Maximum number of records per read.
 _READ_LIMIT: Final = 512
-#: Keys remembered by one home.
-_KEYS_KEPT: Final = 200_000
-#: Tries to find out what became of an append, and seconds between them.
-_LOOKS: Final = 4
-_LOOK_EVERY: Final = 0.1
+#: Maximum number of keys that one coordinator remembers.
+_MAX_KEYS: Final = 200_000
+#: Reads to find out whether an append with unknown outcome succeeded, and seconds between them.
+_MAX_LOOKUPS: Final = 4
+_LOOKUP_INTERVAL_S: Final = 0.1
 _BATCH_ID_BYTES: Final = 8
 
 
 @frozen
 class ClaimHolder:
-    """Who holds a key."""
+    """The valid claim of a key."""
 
     #: Identity of the claim.
     claim: bytes
-    #: Host that made it.
+    #: Host that made the claim.
     host: str
 
 
 class ClaimTable:
-    """What follows from the records of one stream, in their order."""
+    """The state of all claims of one log stream, built by applying its records in order."""
 
     def __init__(self) -> None:
-        self._holdings: dict[bytes, ClaimHolder] = {}
+        self._holders: dict[bytes, ClaimHolder] = {}
         self._released: dict[bytes, None] = {}
 
     def __len__(self) -> int:
-        return len(self._holdings)
+        return len(self._holders)
 
     def holder(self, key: bytes) -> ClaimHolder | None:
-        """Who holds a key."""
-        return self._holdings.get(key)
+        """The valid claim of a key, `None` if there is none."""
+        return self._holders.get(key)
 
-    def fold(self, payload: bytes) -> bytes:
-        """Take the next record; returns the identity of its batch, empty for a foreign record."""
+    def apply(self, payload: bytes) -> bytes:
+        """Apply the next record; returns its batch identity, empty if it cannot be decoded."""
         try:
             body = msgpack.unpackb(payload)
             batch, claims, releases = body["batch"], body["claims"], body["releases"]
@@ -77,26 +77,26 @@
         except (ValueError, KeyError, TypeError, msgpack.exceptions.UnpackException):
             return b""
 
-    def _claim(self, key: bytes, holding: ClaimHolder) -> None:
-        if holding.claim in self._released or key in self._holdings:
+    def _claim(self, key: bytes, holder: ClaimHolder) -> None:
+        if holder.claim in self._released or key in self._holders:
             return
-        self._holdings[key] = holding
-        if len(self._holdings) > _KEYS_KEPT:
-            del self._holdings[next(iter(self._holdings))]
+        self._holders[key] = holder
+        if len(self._holders) > _MAX_KEYS:
+            del self._holders[next(iter(self._holders))]
 
     def _release(self, key: bytes, claim: bytes) -> None:
-        """Free a key; a claim released before it arrives is void for ever."""
+        """Release a key; a claim that is released before it appears in the log never holds."""
         self._released[claim] = None
-        if len(self._released) > _KEYS_KEPT:
+        if len(self._released) > _MAX_KEYS:
             del self._released[next(iter(self._released))]
-        holding = self._holdings.get(key)
-        if holding is not None and holding.claim == claim:
-            del self._holdings[key]
+        holder = self._holders.get(key)
+        if holder is not None and holder.claim == claim:
+            del self._holders[key]
 
 
 @define(eq=False)
 class _Pending:
-    """A claim or a release that waits for its batch."""
+    """A claim or release that waits to be appended in a batch."""
 
     request: ClaimRequest | ReleaseRequest
     done: anyio.Event = field(factory=anyio.Event)
@@ -104,66 +104,69 @@
 
 
 class ClaimCoordinator:
-    """Appends the claims of one stream in batches and tells their outcomes."""
+    """Appends the claims of one log stream in batches and returns their outcomes."""
 
     def __init__(self, stream: str, *, log: LogService, timers: TimerService) -> None:
         self._stream = stream
         self._log = log
         self._timers = timers
-        self._book = ClaimTable()
+        self._table = ClaimTable()
         self._next = 0
         self._is_current = False
         self._pending: list[_Pending] = []
-        self._working = anyio.Lock()
+        self._write_lock = anyio.Lock()
         self._appends = 0
         self._claims = 0
 
     @property
     def appends(self) -> int:
-        """Records appended so far."""
+        """Number of append requests sent so far."""
         return self._appends
 
     @property
     def claims(self) -> int:
-        """Claims taken so far."""
+        """Number of claims received so far."""
         return self._claims
 
     async def claim(self, request: ClaimRequest) -> ClaimAnswer:
-        """Claim a key; returns when the log has decided or does not answer."""
+        """Claim a key; returns once the log has decided or the append has failed."""
         self._claims += 1
-        holder = self._book.holder(request.key) if self._is_current else None
+        holder = self._table.holder(request.key) if self._is_current else None
         if holder is None:
             pending = _Pending(request)
             await self._submit(pending)
             if pending.failure:
                 return ClaimAnswer(granted=False, holder=b"", host="", reason=pending.failure)
-            holder = self._book.holder(request.key)
+            holder = self._table.holder(request.key)
         if holder is None:
             return ClaimAnswer(False, b"", "", "the claim was released before it was made")
         return ClaimAnswer(holder.claim == request.claim, holder.claim, holder.host, "")
 
     async def release(self, request: ReleaseRequest) -> None:
-        """Free a key whose call has not run; best effort."""
+        """Release a key whose call did not run; best effort."""
         await self._submit(_Pending(request))
 
     async def _submit(self, pending: _Pending) -> None:
         self._pending.append(pending)
-        async with self._working:
+        async with self._write_lock:
             if not pending.done.is_set():
                 await self._write_batch()
 
     async def _write_batch(self) -> None:
-        batch, self._pending = self._pending[:_BATCH], self._pending[_BATCH:]
-        failure = "this daemon gave up while it asked the log"
+        batch, self._pending = self._pending[:_MAX_BATCH], self._pending[_MAX_BATCH:]
+        failure = "the daemon stopped waiting for the log"
         try:
-            failure = await self._decide(batch)
+            failure = await self._append_batch(batch)
         finally:
             for pending in batch:
                 pending.failure = failure
                 pending.done.set()
 
-    async def _decide(self, batch: list[_Pending]) -> str:
-        """Write a batch and fold the stream up to it; returns why that failed, or nothing."""
+    async def _append_batch(self, batch: list[_Pending]) -> str:
+        """Append a batch and apply the stream up to it; returns why that failed, empty on success.
+
+        If another daemon appended records meanwhile, those are read and applied first.
+        """
         if not self._is_current:
             failure = await self._read_up_to(None)
             if failure:
@@ -173,7 +176,7 @@
         self._appends += 1
         match await self._log.append(self._stream, payload):
             case Appended(offset) if offset == self._next:
-                self._book.fold(payload)
+                self._table.apply(payload)
                 self._next = offset + 1
                 return ""
             case Appended(offset):
@@ -182,10 +185,10 @@
                 return reason
             case AppendUnknown(reason):
                 self._is_current = False
-        return await self._look_for(identity, reason)
+        return await self._find_batch(identity, reason)
 
     async def _read_up_to(self, offset: int | None) -> str:
-        """Fold records up to and including `offset`, or up to the head for `None`."""
+        """Apply records up to and including `offset`, or up to the head of the log for `None`."""
         end = -1 if offset is None else offset + 1
         if end < 0:
             bounds = await self._log.bounds(self._stream)
@@ -194,23 +197,23 @@
             end = bounds.head
         self._is_current = False
         while self._next < end:
-            match await self._read():
+            match await self._read_next():
                 case Slice(records, _) if records:
                     continue
                 case Slice():
-                    return "the log lost records that it had confirmed"
+                    return "the log has lost acknowledged records"
                 case Unavailable(reason):
                     return reason
         self._is_current = True
         return ""
 
-    async def _read(self) -> Slice | Unavailable:
-        """Fold the next records."""
+    async def _read_next(self) -> Slice | Unavailable:
+        """Read and apply the next records, skipping expired ones."""
         while True:
             match await self._log.read(self._stream, start=self._next, limit=_READ_LIMIT, wait=0.0):
                 case Slice(records, bounds) as found:
                     for record in records:
-                        self._book.fold(record.payload)
+                        self._table.apply(record.payload)
                         self._next = record.offset + 1
                     return found
                 case Expired(bounds):
@@ -218,10 +221,10 @@
                 case Unavailable() as failure:
                     return failure
 
-    async def _look_for(self, identity: bytes, reason: str) -> str:
-        """Find out whether a batch whose append got no answer is in the log."""
-        for _ in range(_LOOKS):
-            await self._timers.sleep(_LOOK_EVERY)
+    async def _find_batch(self, identity: bytes, reason: str) -> str:
+        """Find out whether a batch whose append was not acknowledged is in the log."""
+        for _ in range(_MAX_LOOKUPS):
+            await self._timers.sleep(_LOOKUP_INTERVAL_S)
             found = await self._log.read(
                 self._stream, start=self._next, limit=_READ_LIMIT, wait=0.0
             )
@@ -229,12 +232,12 @@
                 continue
             seen = False
             for record in found.records:
-                seen = self._book.fold(record.payload) == identity or seen
+                seen = self._table.apply(record.payload) == identity or seen
                 self._next = record.offset + 1
             if seen:
                 self._is_current = True
                 return ""
-        return f"nobody can tell whether the claim is in the log: {reason}"
+        return f"unknown whether the claim is in the log: {reason}"
 
 
 def _pack(identity: bytes, requests: list[ClaimRequest | ReleaseRequest]) -> bytes:
--- a/packages/calls/src/acaciayard_calls/_dispatcher.py
+++ b/packages/calls/src/acaciayard_calls/_dispatcher.py
@@ -1,4 +1,4 @@
-"""Brings calls to targets."""
+"""Dispatches calls to targets."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Dispatcher:
-    """Runs calls by the rules of their plan.
+    """Runs calls according to their plans, with retries and hedged requests.
 
     Example:
         outcome = await dispatcher.run(call, plan, router, CallWatch(), may_retry=True)
@@ -26,13 +26,13 @@
 
     @property
     def retries(self) -> int:
-        """Tries beyond the first of their call, where the first may have run."""
+        """Number of attempts beyond the first of a call, if the first one may have run."""
         return self._retries
 
     async def run(
         self, call: Call, plan: Plan, router: Router, watch: CallWatch, *, may_retry: bool
     ) -> Answered | NotRun | OutcomeUnknown:
-        """Run a call whose body is whole; `watch` gives it up when its caller goes away."""
+        """Run a call whose body is complete; `watch` cancels it when its caller disconnects."""
         attempts = plan.retry.attempts if may_retry and plan.route.idempotent else 1
         self._parts.budgets.pay_in(plan.service.name, plan.retry.budget_percent)
         if call.is_repeat:
@@ -42,12 +42,15 @@
         self._retries += max(0, run.tried - 1)
         return outcome
 
-    # --- calls whose body streams -------------------------------------------------------------
+    # --- calls with a streamed body -----------------------------------------------------------
 
     async def admit(
         self, call: Call, plan: Plan, router: Router
     ) -> Attempt | NotRun | OutcomeUnknown:
-        """Find a host that admits a call whose body is still to come."""
+        """Offer a call whose body is not read yet until a host admits it.
+
+        Returns the admitted attempt, or the last refusal.
+        """
         refused: set[str] = set()
         last = no_target(plan, self._parts.rollouts)
         suspects = self._parts.suspects
--- a/packages/calls/src/acaciayard_calls/_entry.py
+++ b/packages/calls/src/acaciayard_calls/_entry.py
@@ -1,4 +1,7 @@
-"""Where callers come in: one task per connection, and one for each request run beside others."""
+"""The entry server, which accepts callers' connections.
+
+There is one task per connection, and one for each request that runs concurrently with others.
+"""
 
 from __future__ import annotations
 
@@ -33,18 +36,18 @@
 
 __all__ = ["EntryServer"]
 
-#: Seconds between two looks for silent callers.
-_SWEEP: Final = 5.0
-#: Name of the `EntryLimits` that hold on every host.
+#: Seconds between two checks for idle connections.
+_SWEEP_INTERVAL_S: Final = 5.0
+#: Name of the `EntryLimits` resource that applies to every host.
 _DEFAULT_LIMITS: Final = "default"
-#: Limits for what callers send; bodies have none, since they stream.
+#: Limits for requests of callers; bodies have none, since they are streamed.
 _CALLER_LIMITS: Final = Limits(headers=100, head_bytes=32 * 1024)
 
 
 class EntryServer:
-    """Listens for callers.
+    """Accepts callers' connections and serves their requests.
 
-    `not_serving` tells why no calls are served now, empty when they are.
+    `not_serving` returns why calls are currently refused, or an empty string if they are served.
     """
 
     def __init__(
@@ -84,31 +87,31 @@
         )
         self._connections: set[CallerConnection] = set()
         self._listener: Listener | None = None
-        #: What was made ready for the next configuration.
+        #: The router prepared for the next configuration.
         self._prepared: Router | None = None
 
     @property
     def port(self) -> int:
-        """Where it listens."""
+        """The port on which the server listens."""
         assert self._listener is not None, "the server does not listen yet"
         return self._listener.port
 
     @property
     def running(self) -> int:
-        """Calls that are being served."""
+        """Number of calls in progress."""
         return sum(connection.running for connection in self._connections)
 
     @property
     def served(self) -> int:
-        """Calls served so far, refused ones included."""
+        """Number of calls served so far, including refused ones."""
         return self._context.served
 
     def prepare(self, configuration: Configuration) -> Generator[None, None, None]:
-        """Make ready to use a configuration, with a turn for calls now and then."""
+        """Prepare a router for a configuration, yielding regularly so that calls are served."""
         self._prepared = yield from Router.in_slices(configuration, self._context.router)
 
     def use(self, configuration: Configuration) -> None:
-        """Match calls against another configuration; those under way keep theirs."""
+        """Use a configuration for new calls; calls in progress keep the previous one."""
         prepared, self._prepared = self._prepared, None
         if prepared is None or prepared.configuration is not configuration:
             prepared = Router(configuration, earlier=self._context.router)
@@ -123,7 +126,7 @@
             self._context.idle_for = limits.idle_s
 
     async def open(self, address: str, port: int, tasks: anyio.abc.TaskGroup) -> None:
-        """Listen; connections are served in `tasks`."""
+        """Start to listen; connections are served by tasks in `tasks`."""
         self._context.tasks = tasks
         self._listener = await listen(
             address,
@@ -145,17 +148,17 @@
             stream.close()
 
     async def run(self) -> None:
-        """Close connections whose callers have been silent for long, for ever."""
-        async for _ in self._context.timers.ticks(_SWEEP):
+        """Close idle connections periodically; never returns."""
+        async for _ in self._context.timers.ticks(_SWEEP_INTERVAL_S):
             for connection in tuple(self._connections):
-                connection.close_if_late()
+                connection.close_if_timed_out()
 
     def announce_stop(self) -> None:
-        """Serve on, but end each connection after the requests that it has under way."""
+        """Keep serving, but close each connection after its requests in progress."""
         self._context.is_stopping = True
 
     def stop(self) -> None:
-        """Take no more connections, and no more requests on those that stand."""
+        """Accept no more connections, and no more requests on existing ones."""
         self._context.is_stopping = True
         if self._listener is not None:
             self._listener.close()
--- a/packages/calls/src/acaciayard_calls/_first_request.py
+++ b/packages/calls/src/acaciayard_calls/_first_request.py
@@ -1,7 +1,7 @@
-"""Tells how long ago a caller asked first, from the deadline that it tells.
+"""Estimates when a caller sent a request for the first time, from the timeout that it sends.
 
-A caller that was refused comes back as a new call with a new identity.  What it tells is how long
-it will still wait, and that is less than callers of the route tell who ask for the first time.
+A caller that retries after a refusal sends a new call with a new identity.  Its timeout is the time
+that it will still wait, which is shorter than the timeout of a first request on the same route.
 """
 
 from __future__ import annotations
@@ -15,106 +15,110 @@
 
 __all__ = ["FirstRequestEstimator"]
 
-#: Calls of each route whose deadlines are remembered: some seconds' worth of them, and enough that
-#: the second least of first calls is near the least that callers tell.
-_REMEMBERED: Final = 100
-#: First calls that must be remembered before the least of them means something.
-_ENOUGH: Final = 50
-#: Calls after which what is known of a route is worked out anew.
-_EVERY: Final = 10
-#: Until then: part of the usual deadline below which a call is taken for a repeat.  Most callers of
-#: a route wait about equally long; a fifth is more than those known differ by.
-_LEAST_PART: Final = 0.8
-#: What is told by all but so large a part of the calls counts as usual: repeats tell less, which at
-#: worst are two of three calls, and a few callers wait for very long.
-_UNUSUAL: Final = 0.1
-#: Routes that are remembered.
-_MOST_ROUTES: Final = 500
+#: Number of recent timeouts kept per route: those of some seconds, and enough for the second lowest
+#: timeout of first requests to be near the lowest one that callers use.
+_MAX_TIMEOUTS: Final = 100
+#: Number of first requests from which their lowest timeout is used.
+_MIN_FIRST_REQUESTS: Final = 50
+#: Number of calls after which the statistics of a route are recomputed.
+_RECOMPUTE_INTERVAL: Final = 10
+#: Share of the usual timeout below which a call counts as a retry, until there are enough first
+#: requests.  Most callers of a route use about the same timeout: the known ones differ by less than
+#: a fifth.
+_RETRY_TIMEOUT_SHARE: Final = 0.8
+#: Share of the calls whose timeouts may exceed the usual one, since a few callers use very long
+#: timeouts.  Retries have lower ones and are at worst two of three calls.
+_OUTLIER_SHARE: Final = 0.1
+#: Maximum number of routes with statistics.
+_MAX_ROUTES: Final = 500
 
 
-def _last_told() -> deque[float]:
-    return deque(maxlen=_REMEMBERED)
+def _recent_timeouts() -> deque[float]:
+    return deque(maxlen=_MAX_TIMEOUTS)
 
 
 @define
-class _Told:
-    """What callers of one route have told, in seconds."""
-
-    #: Deadlines of the last calls.
-    all: deque[float] = field(factory=_last_told)
-    #: Deadlines of calls that were surely first ones.
-    first_ones: deque[float] = field(factory=_last_told)
-    #: What callers usually tell at first.
-    usual: float = 0.0
-    #: The least deadline that a first call tells, and the middle one; 0 before they are known.
-    least: float = 0.0
-    middle: float = 0.0
-    #: When callers were last given a reason to come back.
-    sent_back_at: float = float("-inf")
-    #: Calls so far.
+class _RouteStatistics:
+    """Statistics of the timeouts that callers of one route sent, in seconds."""
+
+    #: Timeouts of the last calls.
+    recent: deque[float] = field(factory=_recent_timeouts)
+    #: Timeouts of the last calls that were certainly first requests.
+    first_requests: deque[float] = field(factory=_recent_timeouts)
+    #: The usual timeout of a first request.
+    usual_timeout: float = 0.0
+    #: The lowest and the median timeout of first requests; 0 until they are known.
+    lowest: float = 0.0
+    median: float = 0.0
+    #: When a call last failed, so that its caller may retry.
+    failed_at: float = float("-inf")
+    #: Number of calls so far.
     count: int = 0
 
     def note(self, seconds: float, now: float) -> bool:
-        """Remember the deadline of a call; whether the call is surely a first one."""
-        self.all.append(seconds)
-        is_first = now - self.sent_back_at > self.usual
+        """Record the timeout of a call; returns whether it is certainly a first request."""
+        self.recent.append(seconds)
+        is_first = now - self.failed_at > self.usual_timeout
         if is_first:
-            self.first_ones.append(seconds)
+            self.first_requests.append(seconds)
         self.count += 1
-        if self.count <= _EVERY or self.count % _EVERY == 0:
-            self._work_out()
+        if self.count <= _RECOMPUTE_INTERVAL or self.count % _RECOMPUTE_INTERVAL == 0:
+            self._recompute()
         return is_first
 
-    def _work_out(self) -> None:
-        unusual = int(len(self.all) * _UNUSUAL)
-        self.usual = sorted(self.all)[-1 - unusual]
-        if len(self.first_ones) >= _ENOUGH:
-            ordered = sorted(self.first_ones)
-            # The very least may be that of one caller unlike all others.
-            self.least = ordered[1]
-            self.middle = ordered[len(ordered) // 2]
+    def _recompute(self) -> None:
+        outliers = int(len(self.recent) * _OUTLIER_SHARE)
+        self.usual_timeout = sorted(self.recent)[-1 - outliers]
+        if len(self.first_requests) >= _MIN_FIRST_REQUESTS:
+            ordered = sorted(self.first_requests)
+            # The lowest one may be an outlier.
+            self.lowest = ordered[1]
+            self.median = ordered[len(ordered) // 2]
 
 
 class FirstRequestEstimator:
-    """Estimates for each call when its caller asked for the first time.
+    """Estimates for each call when its caller sent the request for the first time.
 
-    While nobody was sent back for as long as callers usually wait, all calls are first ones, and
-    their deadlines show how patient callers of the route are.  A call that tells less than any of
-    those is a repeat, as old as what lacks to the middle one.
+    If no call of a route has failed for as long as its callers usually wait, all calls are first
+    requests, and their timeouts show what its callers use.  A call with a lower timeout than those
+    is a retry; its age is the difference between the median timeout and its own.
 
-    Where slots are scarce, a slot given to a call that can only be late is one lost to a call that
-    could have been in time.  With 54 slots for the work of 80, calls of the lowest class that were
-    answered in their goal rose from 34 to 66 in 100 (`test_overload`).
+    With scarce slots, a slot that is given to a call that can only be late is lost to a call that
+    could have met its latency goal.  With 54 slots for the work of 80, the estimate raised the
+    calls of the lowest class that met their goal from 34 to 66 in 100 (`test_overload`).
 
     Example:
-        first_asked.of("quotes", timeout=0.7)      # 0.3 s ago, where callers tell 1.0 at first
+        estimator.of("quotes", timeout=0.7)     # 0.3 s ago, if first requests have 1.0 s
     """
 
     def __init__(self, timers: TimerService) -> None:
         self._timers = timers
-        self._routes: dict[str, _Told] = {}
+        self._routes: dict[str, _RouteStatistics] = {}
 
     def of(self, route: str, *, timeout: float) -> float:
-        """When the caller asked first, by the timer service; it tells a deadline of `timeout` s."""
+        """When the caller of a call first sent it, on the clock of the timer service.
+
+        `timeout` is the number of seconds that the caller will still wait, 0 if it did not say.
+        """
         now = self._timers.now()
         if timeout <= 0:
             return now
-        known = self._told_of(route)
-        if known.note(timeout, now):
+        statistics = self._statistics_of(route)
+        if statistics.note(timeout, now):
             return now
-        least = known.least or known.usual * _LEAST_PART
-        if timeout >= least:
+        lowest = statistics.lowest or statistics.usual_timeout * _RETRY_TIMEOUT_SHARE
+        if timeout >= lowest:
             return now
-        return now - ((known.middle or known.usual) - timeout)
+        return now - ((statistics.median or statistics.usual_timeout) - timeout)
 
     def note_failure(self, route: str) -> None:
-        """A caller got no good answer and may come back."""
-        self._told_of(route).sent_back_at = self._timers.now()
+        """Record that a call of a route failed, so that its caller may retry."""
+        self._statistics_of(route).failed_at = self._timers.now()
 
-    def _told_of(self, route: str) -> _Told:
-        known = self._routes.get(route)
-        if known is None:
-            if len(self._routes) >= _MOST_ROUTES:
+    def _statistics_of(self, route: str) -> _RouteStatistics:
+        statistics = self._routes.get(route)
+        if statistics is None:
+            if len(self._routes) >= _MAX_ROUTES:
                 del self._routes[next(iter(self._routes))]
-            known = self._routes[route] = _Told()
-        return known
+            statistics = self._routes[route] = _RouteStatistics()
+        return statistics
--- a/packages/calls/src/acaciayard_calls/_identity.py
+++ b/packages/calls/src/acaciayard_calls/_identity.py
@@ -1,13 +1,13 @@
-"""Whose call a request is: the workspace whose key it shows.
+"""Identifies the workspace of a request by the API key that it carries.
 
-A target's own calls show no key.  They are made for a call that the target runs, and belong to the
-workspace of that one, which their identity names (`LocalTargets.parent_of`).  Where it names a call
-that does not run here, this daemon was started again or the caller has gone: nobody is left to get
-the answer, and nobody can say whose call it is.  It is refused as not run, and never run for a
-workspace that was guessed.
+Nested calls of a target carry no key.  They belong to the workspace of the call for which the
+target makes them, which their request identity names (`LocalTargets.parent_of`).  If that call is
+not running here, the daemon was restarted or the caller has disconnected: no one waits for the
+response, and the workspace cannot be determined.  Such a call is refused as not run; it never runs
+for a guessed workspace.
 
-Callers without a key on a route that needs one, and with a key that the configuration in force does
-not hold, are refused for good.
+Callers without a key on a route that requires one, and callers with a key that the active
+configuration does not contain, are rejected with status 401.
 """
 
 from __future__ import annotations
@@ -26,49 +26,51 @@
 
 __all__ = ["ANYONE", "Identity", "counted_of", "identity_of"]
 
-#: Seconds after which a caller without a valid key may ask again: a new key is in force everywhere
-#: by then.
-_NO_KEY_RETRY_AFTER: Final = 5.0
-#: Seconds after which the target of a call that is no longer known here may ask again.
-_NO_PARENT_RETRY_AFTER: Final = 1.0
+#: Retry-After in seconds for a caller without a valid key; new keys are active everywhere by then.
+_NO_KEY_RETRY_AFTER_S: Final = 5.0
+#: Retry-After in seconds for a nested call whose parent is not running here.
+_NO_PARENT_RETRY_AFTER_S: Final = 1.0
 
 
 @frozen
 class Identity:
-    """Who asks."""
+    """The identity of a caller."""
 
-    #: Name of the workspace, empty where none is asked for.
+    #: Name of the workspace, empty if the request needs none.
     workspace: str = ""
     #: Priority class of its calls as an index of `PRIORITIES`; `None` for that of the route.
     priority: int | None = None
-    #: Whether the configuration has workspaces, so that what the caller's headers say of a key and
-    #: of a workspace is not passed on.
+    #: Whether the configuration has workspaces.  The key and workspace headers of the caller are
+    #: then removed before the call is forwarded.
     is_checked: bool = False
-    #: Whether a target has made the call for another one that it runs.
+    #: Whether a target makes the call for another one that it runs.
     is_nested: bool = False
 
     @property
     def may_be_nested(self) -> bool:
-        """Whether the call may be one for another; one that shows a key is a caller's own."""
+        """Whether the call may be a nested one; a call with a key is not."""
         return self.is_nested or not self.is_checked
 
     def ranked(self, plan: Plan) -> Plan:
-        """The plan with the priority class of the workspace, where that has one."""
+        """The plan with the priority class of the workspace, if that has one."""
         if self.priority is None or self.priority == plan.priority:
             return plan
         return evolve(plan, priority=self.priority)
 
 
-#: Whoever asks where no configuration has workspaces.
+#: Identity of all callers if the configuration has no workspaces.
 ANYONE: Final = Identity()
-#: Whoever asks on a public route.
+#: Identity of callers of a public route.
 _UNNAMED: Final = Identity(is_checked=True)
 
 
 def identity_of(
     head: RequestHead, plan: Plan, router: Router, *, dialect: Dialect, targets: LocalTargets
 ) -> Identity:
-    """Who asks, by the configuration that `router` matches; raises `RejectedError`."""
+    """The identity of a request's caller in the configuration of `router`.
+
+    Raises `RejectedError` if the route requires a workspace and the request has none.
+    """
     holders = router.key_holders
     if holders.is_empty:
         return ANYONE
@@ -84,18 +86,17 @@
             return Identity(parent.workspace, is_checked=True, is_nested=True)
         if targets.is_nested(request_id) and not plan.route.public:
             reason = "the call for which it is made does not run here"
-            raise RejectedError(503, NotRun(reason, _NO_PARENT_RETRY_AFTER))
+            raise RejectedError(503, NotRun(reason, _NO_PARENT_RETRY_AFTER_S))
     if plan.route.public:
         return _UNNAMED
     reason = "no workspace holds this key" if key else "a key of a workspace is needed"
-    raise RejectedError(401, NotRun(reason, _NO_KEY_RETRY_AFTER))
+    raise RejectedError(401, NotRun(reason, _NO_KEY_RETRY_AFTER_S))
 
 
 async def counted_of(identity: Identity, caps: UsageCaps) -> CountedCall:
-    """Count a call for its workspace; raises `RejectedError` where that is over its cap.
+    """Count a call for its workspace; raises `RejectedError` if the workspace is over its cap.
 
-    Calls that a target makes are not counted: the one that they are made for has been, and its work
-    would be lost.
+    Nested calls are not counted: their parent has been counted, and a refusal would waste its work.
     """
     if not caps.has_any or not identity.workspace or identity.is_nested:
         return UNCOUNTED
--- a/packages/calls/src/acaciayard_calls/_intake.py
+++ b/packages/calls/src/acaciayard_calls/_intake.py
@@ -1,4 +1,4 @@
-"""Makes calls of requests, or refuses them before they become calls."""
+"""Converts requests into calls, or rejects them before a call is made."""
 
 from __future__ import annotations
 
@@ -43,62 +43,63 @@
 __all__ = [
     "EntryContext",
     "call_of",
-    "is_small",
+    "is_buffered",
     "number_in",
     "plan_for",
-    "told_deadline",
+    "requested_timeout",
 ]
 
-_DEEPEST: Final = 64
-_NO_ROUTE_RETRY_AFTER: Final = 1.0
-#: Seconds that a caller is told to wait while this daemon serves no calls: a start takes 0.2 to
-#: 0.4 s from its first open port to the configuration in force.
-_NOT_SERVING_RETRY_AFTER: Final = 0.2
+#: Maximum nesting depth of calls; deeper ones are rejected with status 508.
+_MAX_CALL_DEPTH: Final = 64
+_NO_ROUTE_RETRY_AFTER_S: Final = 1.0
+#: Retry-After in seconds while this daemon serves no calls.  A start takes 0.2 to 0.4 s from the
+#: first open port to an active configuration.
+_NOT_SERVING_RETRY_AFTER_S: Final = 0.2
 
 
 @define
 class EntryContext:
-    """What all connections of callers share."""
+    """The dependencies, settings and state that all connections of callers share."""
 
-    #: Brings calls to targets.
+    #: Dispatches calls to targets.
     dispatcher: Dispatcher
-    #: Claims idempotency keys; `None` where callers use none.
+    #: Claims idempotency keys; `None` if keys are not supported.
     claimer: Claimer | None
-    #: Limits by caller.
+    #: Rate and concurrency limits by caller.
     limiter: CallerLimiter
-    #: Counts how calls were answered.
+    #: Counts well answered and other calls.
     levels: ServiceLevels
-    #: Targets on this host, which may make calls of their own.
+    #: Targets on this host, which may make nested calls.
     targets: LocalTargets
-    #: Time.
     timers: TimerService
-    #: Tells first calls from repeats.
+    #: Estimates when the caller of a call first sent it.
     first_asked: FirstRequestEstimator
-    #: What a request may cost.
+    #: Size limits of requests.
     limits: Limits
-    #: Why no calls are served now, empty when they are.
+    #: Returns why no calls are served, or an empty string if they are.
     not_serving: Callable[[], str]
-    #: Caps of workspaces.
+    #: Usage caps of workspaces.
     caps: UsageCaps = NO_CAPS
-    #: Names of header fields.
+    #: Names of the header fields.
     dialect: Dialect = OWN_DIALECT
-    #: Value of the header that tells the service of this host, where the dialect has one.
+    #: Value of the header that names the service of this host, if the dialect has one.
     origin: bytes = b""
-    #: Bodies up to so many bytes are held here, so that they can be offered to a second host.
+    #: Largest body in bytes that is buffered, so that the call can be offered to a second host.
     largest_held_body: int = LARGEST_WHOLE_BODY
-    #: Whether bodies of unknown length are held as well, up to that size.
+    #: Whether bodies of unknown length are buffered as well, up to that size.
     holds_chunked: bool = False
-    #: Seconds that a connection may wait for its next request.
+    #: Seconds for which a connection may wait for its next request.
     idle_for: float = 75.0
-    #: Is told how each call ends.
+    #: Receives the outcome of each call.
     events: CallEvents = NO_EVENTS
-    #: Routes of the configuration in force; `None` until there is one.
+    #: Routes of the active configuration; `None` until there is one.
     router: Router | None = None
-    #: Whether connections end after their present request.
+    #: Whether connections close after their requests in progress.
     is_stopping: bool = False
-    #: Requests served.
+    #: Number of requests served.
     served: int = 0
-    #: Where requests are read and run beside earlier ones of their connection; `None` for nowhere.
+    #: Runs requests concurrently with earlier ones of their connection; `None` to run them in
+    #: sequence.
     tasks: anyio.abc.TaskGroup | None = None
 
 
@@ -110,23 +111,25 @@
     reason = context.not_serving()
     router = context.router
     if reason or router is None:
-        refusal = NotRun(reason or "no configuration is in force", _NOT_SERVING_RETRY_AFTER)
+        refusal = NotRun(reason or "no configuration is in force", _NOT_SERVING_RETRY_AFTER_S)
         raise RejectedError(503, refusal)
     depth = context.dialect.depth
-    if depth and number_in(head, depth, 0) >= _DEEPEST:
-        raise RejectedError(508, NotRun(f"more than {_DEEPEST} calls behind one another", 60.0))
+    if depth and number_in(head, depth, 0) >= _MAX_CALL_DEPTH:
+        raise RejectedError(
+            508, NotRun(f"more than {_MAX_CALL_DEPTH} calls behind one another", 60.0)
+        )
     plan = router.match(
         host=(hosts[0] if hosts else b"").decode("latin-1"),
         path=head.path.decode("latin-1"),
         method=head.method.decode("latin-1"),
     )
     if plan is None:
-        raise RejectedError(404, NotRun("no route matches", _NO_ROUTE_RETRY_AFTER))
+        raise RejectedError(404, NotRun("no route matches", _NO_ROUTE_RETRY_AFTER_S))
     return router, plan
 
 
-def is_small(head: RequestHead, context: EntryContext) -> bool:
-    """Whether the body of a request is read before the call is made."""
+def is_buffered(head: RequestHead, context: EntryContext) -> bool:
+    """Whether the body of a request is buffered before the call is made."""
     length = length_of(head)
     if length == UNKNOWN_LENGTH:
         return context.holds_chunked
@@ -143,13 +146,13 @@
     body: bytes,
     start_by: float,
 ) -> Call:
-    """The call that a request asks for; `body` is its whole body where that is held."""
+    """Create the call of a request; `body` is the complete body if that is buffered."""
     dialect = context.dialect
     seconds = plan.timeout.total_s
-    told = told_deadline(head, context)
-    if told > 0:
-        seconds = min(seconds, told)
-    is_whole = is_small(head, context)
+    caller_timeout = requested_timeout(head, context)
+    if caller_timeout > 0:
+        seconds = min(seconds, caller_timeout)
+    is_whole = is_buffered(head, context)
     return Call(
         service=plan.service.name,
         method=head.method,
@@ -167,13 +170,13 @@
     )
 
 
-def told_deadline(head: RequestHead, context: EntryContext) -> float:
-    """Seconds for which the caller of a request says that it waits, 0 where it does not say."""
+def requested_timeout(head: RequestHead, context: EntryContext) -> float:
+    """Seconds that the caller will wait according to its header, 0 if it sends none."""
     return number_in(head, context.dialect.deadline, 0) / 1000
 
 
 def _fields_of(head: RequestHead, context: EntryContext, identity: Identity) -> bytes:
-    """The header fields that travel with the call, rendered."""
+    """The rendered header fields that are forwarded with the call."""
     dialect = context.dialect
     replaced = dialect.replaced
     if identity.is_checked:
@@ -189,7 +192,7 @@
 
 
 def length_of(head: RequestHead) -> int:
-    """Bytes of a request's body, `UNKNOWN_LENGTH` where its end alone tells."""
+    """Length of a request's body in bytes, `UNKNOWN_LENGTH` if it is chunked."""
     if head.framing is Framing.NONE:
         return 0
     if head.framing is Framing.SIZED:
@@ -198,7 +201,7 @@
 
 
 def number_in(head: RequestHead, name: bytes, default: int) -> int:
-    """The value of a header that holds a whole number; raises `HttpError` for anything else."""
+    """The value of an integer header, or `default`; raises `HttpError` if it is malformed."""
     value = first_header(head.headers, name)
     if not value:
         return default
--- a/packages/calls/src/acaciayard_calls/_levels.py
+++ b/packages/calls/src/acaciayard_calls/_levels.py
@@ -1,4 +1,4 @@
-"""Service levels: how many calls were answered well, and how fast the error budget burns."""
+"""Service levels: the share of good calls, and the burn rate of the error budget."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 
 __all__ = ["WINDOWS", "LevelReport", "ServiceLevels"]
 
-#: Windows over which burn rates are told, in minutes.
+#: Windows for which burn rates are reported, in minutes.
 WINDOWS: Final = (5, 60, 360)
 _SECONDS_PER_MINUTE: Final = 60
-#: Range of recorded times, in microseconds, and digits kept.
-_LEAST_US: Final = 1
-_MOST_US: Final = 3_600_000_000
+#: Range of recorded durations in microseconds, and significant digits of the histogram.
+_MIN_US: Final = 1
+_MAX_US: Final = 3_600_000_000
 _DIGITS: Final = 2
-#: Times that may wait to be recorded.
-_PENDING: Final = 1000
+#: Maximum number of durations that are buffered before they are recorded.
+_MAX_PENDING: Final = 1000
 
 
 @define
@@ -33,7 +33,7 @@
 
 
 def _histogram() -> Any:
-    return HdrHistogram(_LEAST_US, _MOST_US, _DIGITS)
+    return HdrHistogram(_MIN_US, _MAX_US, _DIGITS)
 
 
 @define
@@ -44,46 +44,46 @@
     bad: int = 0
     pending: list[float] = field(factory=list)
 
-    def settle(self) -> None:
-        """Record the times that are pending; doing many at once keeps this off the calls."""
+    def flush(self) -> None:
+        """Record the pending durations in one batch, which adds little latency to single calls."""
         for seconds in self.pending:
-            self.histogram.record_value(max(_LEAST_US, int(seconds * 1_000_000)))
+            self.histogram.record_value(max(_MIN_US, int(seconds * 1_000_000)))
         self.pending.clear()
 
 
 @frozen
 class LevelReport:
-    """The level of one service, at one daemon or merged over several."""
+    """The service level of one service, at one daemon or merged over several."""
 
     #: Name of the service.
     service: str
-    #: Share of calls to be answered well, in percent.
+    #: Objective for the share of good calls, in percent.
     objective_percent: float
-    #: Calls answered well since the daemon started.
+    #: Number of good calls since the daemon started: answered within the objective.
     good: int
-    #: Other calls since the daemon started.
+    #: Number of other calls since the daemon started.
     bad: int
-    #: Calls answered well and not, by window in minutes.
+    #: Numbers of good and of other calls by window in minutes.
     windows: Mapping[int, tuple[int, int]]
-    #: Times of calls in microseconds, as an encoded histogram.
+    #: Durations of calls in microseconds, as an encoded HDR histogram.
     histogram: str
 
 
 class ServiceLevels:
-    """Counts calls by service as their callers saw them."""
+    """Counts good and other calls by service, as seen by their callers."""
 
     def __init__(self, timers: TimerService) -> None:
         self._timers = timers
         self._levels: dict[str, _Level] = {}
 
     def record(self, service: Service, *, seconds: float, is_answered: bool) -> None:
-        """Count a call that took `seconds`; well answered only if within the objective."""
+        """Count a call; it is good if it was answered within the latency objective."""
         level = self._levels.get(service.name)
         if level is None:
             level = self._levels[service.name] = _Level()
         level.pending.append(seconds)
-        if len(level.pending) >= _PENDING:
-            level.settle()
+        if len(level.pending) >= _MAX_PENDING:
+            level.flush()
         minute = self._minute(level)
         if is_answered and seconds * 1000 <= service.objective_ms:
             level.good += 1
@@ -99,11 +99,11 @@
         return level.minutes[-1]
 
     def report(self, services: Mapping[str, Service]) -> list[LevelReport]:
-        """The level of every service that had calls."""
+        """The service levels of all services that had calls."""
         now = int(self._timers.wall() // _SECONDS_PER_MINUTE)
         reports = []
         for name, level in sorted(self._levels.items()):
-            level.settle()
+            level.flush()
             service = services.get(name) or Service(name=name)
             windows = {}
             for window in WINDOWS:
--- a/packages/calls/src/acaciayard_calls/_losses.py
+++ b/packages/calls/src/acaciayard_calls/_losses.py
@@ -1,4 +1,4 @@
-"""Tells why a call was not answered in its latency goal."""
+"""Classifies why a call was not answered successfully within its latency goal."""
 
 from __future__ import annotations
 
@@ -9,50 +9,50 @@
 
 __all__ = ["Loss", "loss_of"]
 
-_FAILED: Final = 500
-#: Outcomes of tries that a host refused begin so.
-_REFUSED: Final = "refused"
+_SERVER_ERROR: Final = 500
+#: Prefix of the outcome of an attempt that a host refused.
+_REFUSED_PREFIX: Final = "refused"
 
 
 class Loss(Enum):
-    """What a call was lost by; the values stand in logs and metrics."""
+    """Why a call missed its latency goal; the values are used in logs and metrics."""
 
     #: Answered late: its caller had been refused before, for longer than the goal.
     LATE_REPEAT = "late_repeat"
-    #: Answered late: refusals took more of the time than the answer.
+    #: Answered late: refused offers took more than half of the time.
     LATE_AFTER_OFFERS = "late_after_offers"
-    #: Answered late: a first try failed or was slow, and a further one answered.
+    #: Answered late: the first attempt failed or was slow, and a later one was answered.
     LATE_AFTER_TRY = "late_after_try"
-    #: Answered late: it waited longer for the answers to earlier requests of its connection than
-    #: for its own.
+    #: Answered late: it waited more than half of the time for responses to earlier requests of its
+    #: connection.
     LATE_IN_TURN = "late_in_turn"
-    #: Answered late by the host that took it first, where it waited or ran for long.
+    #: Answered late by the first host that accepted it, after a long wait or run.
     LATE_AT_TARGET = "late_at_target"
-    #: Refused, since no host had a slot in time.
+    #: Refused because no host had a free slot in time.
     NO_SLOT = "no_slot"
     #: Refused by the target itself.
     BY_TARGET = "by_target"
-    #: Refused for another reason: a leaving target, no target, no configuration.
+    #: Refused for another reason, such as a draining target, no target or no configuration.
     NOT_TAKEN = "not_taken"
-    #: Refused, since it ends the targets that run it.
+    #: Refused because the request crashes the targets that run it.
     BARRED = "barred"
-    #: The target answered with a failure of its own.
+    #: The target returned a server error.
     FAILED = "failed"
-    #: Nobody can tell whether it ran.
+    #: It is unknown whether it ran.
     UNKNOWN = "unknown"
-    #: Its caller left.
+    #: The caller disconnected.
     CALLER_GONE = "caller_gone"
 
 
 def loss_of(ended: CallEnded) -> Loss | None:
-    """Why a call was not answered well in its goal; `None` where it was, or where it has none.
+    """Why a call failed or missed its latency goal; `None` if it succeeded in time or has no goal.
 
     Example:
         loss_of(CallEnded(outcome="answered", status=200, ms=90.0, age_ms=240.0, goal_ms=200.0))
         # Loss.LATE_REPEAT
     """
     match ended.outcome:
-        case "answered" if ended.status >= _FAILED:
+        case "answered" if ended.status >= _SERVER_ERROR:
             return Loss.FAILED
         case "answered":
             is_late = 0 < ended.goal_ms < ended.age_ms + ended.ms
@@ -75,12 +75,12 @@
         return Loss.LATE_REPEAT
     if ended.held_ms > ended.ms / 2:
         return Loss.LATE_IN_TURN
-    if sum(not _is_refused(each) for each in ended.tries) > 1:
+    if sum(not _was_refused(each) for each in ended.tries) > 1:
         return Loss.LATE_AFTER_TRY
-    if sum(each.ms for each in ended.tries if _is_refused(each)) > ended.ms / 2:
+    if sum(each.ms for each in ended.tries if _was_refused(each)) > ended.ms / 2:
         return Loss.LATE_AFTER_OFFERS
     return Loss.LATE_AT_TARGET
 
 
-def _is_refused(each: Try) -> bool:
-    return each.outcome.startswith(_REFUSED)
+def _was_refused(each: Try) -> bool:
+    return each.outcome.startswith(_REFUSED_PREFIX)
--- a/packages/calls/src/acaciayard_calls/_pipeline.py
+++ b/packages/calls/src/acaciayard_calls/_pipeline.py
@@ -1,7 +1,7 @@
-"""The requests of one caller's connection that are under way, and whose turn it is to answer.
+"""The pipelined requests of one caller's connection, and the order of their responses.
 
-A caller may send further requests before the first is answered.  Those that do no harm when they
-run twice are worked on side by side; answers leave in the order of the requests.
+A caller may send further requests before the first one is answered (HTTP pipelining).  Idempotent
+ones run concurrently; the responses are sent in the order of the requests.
 """
 
 from __future__ import annotations
@@ -17,11 +17,11 @@
 
 __all__ = ["MAX_BUFFERED_BYTES", "MAX_PIPELINED_REQUESTS", "CallerRequest", "RequestPipeline"]
 
-#: Requests of one connection that are under way at most.  Fewer than the slots of a usual target,
-#: so that one connection cannot take the whole room of one; further requests wait in the socket.
+#: Maximum number of requests of one connection in progress.  It is lower than the slots of a usual
+#: target, so that one connection cannot use them all; further requests wait in the socket buffer.
 MAX_PIPELINED_REQUESTS: Final = 4
-#: Bytes of heads and ready answers behind the first request from which a connection is not read
-#: on: two answers of the largest size that is held whole.
+#: Bytes of heads and finished responses behind the first request from which no further request is
+#: read: two responses of the largest size that is buffered completely.
 MAX_BUFFERED_BYTES: Final = 128 * 1024
 
 
@@ -29,48 +29,48 @@
 class CallerRequest:
     """A request that was read and is not answered yet."""
 
-    #: Its first line and headers.
+    #: Its request line and headers.
     head: RequestHead
-    #: When that was read, by the timer service.
+    #: When the head was read, on the clock of the timer service.
     started: float
-    #: What is told of it once it has ended.
+    #: The event that is reported when it has ended.
     ended: CallEnded = field(factory=CallEnded)
     #: Whether a part of its body has not been read.
     body_unread: bool = False
-    #: Whether a target may have got a part of it whose answer is not known.
+    #: Whether a target may have received a part of it without a known outcome.
     is_handed_over: bool = False
-    #: Gives its call up; `None` where it goes on without its caller.
+    #: Cancels its call; `None` if the call continues without its caller.
     watch: CallWatch | None = None
-    #: The call that a target here makes it for; `None` for a caller's own.
+    #: The call for which a target on this host makes it; `None` if it is not nested.
     parent: Call | None = None
-    #: Whether it runs beside others: it has begun whatever is before it.
+    #: Whether it runs concurrently with earlier requests, so that it may already have run.
     runs_concurrently: bool = False
-    #: Bytes that are held for it while others are before it.
+    #: Bytes that are buffered for it while earlier requests are not answered.
     buffered_bytes: int = 0
     _turn: anyio.Event | None = None
 
     def note(self, outcome: str, status: int, reason: str = "") -> None:
-        """Note how it ends."""
+        """Record its outcome for the event that is reported."""
         self.ended.outcome = outcome
         self.ended.status = status
         self.ended.reason = reason
 
     async def wait(self) -> None:
-        """Wait until all requests before it have ended."""
+        """Wait until all earlier requests have ended."""
         self._turn = anyio.Event()
         await self._turn.wait()
 
     def wake(self) -> None:
-        """Its turn has come."""
+        """Resume `wait`, as all earlier requests have ended."""
         if self._turn is not None:
             self._turn.set()
 
 
 class RequestPipeline:
-    """The requests of one connection that are under way, in the order in which they were read."""
+    """The requests of one connection in progress, in the order in which they were read."""
 
     def __init__(self) -> None:
-        #: The request that is answered next; `None` while none is under way.
+        #: The request that is answered next; `None` if none is in progress.
         self.first: CallerRequest | None = None
         self._requests: deque[CallerRequest] = deque()
         self._emptied: anyio.Event | None = None
@@ -91,11 +91,11 @@
 
     @property
     def has_concurrent_request(self) -> bool:
-        """Whether a request behind the first may be running at a target."""
+        """Whether a request after the first one may be running at a target."""
         return len(self._requests) > 1 and self._requests[1].runs_concurrently
 
     def begin(self, request: CallerRequest) -> None:
-        """A request was read."""
+        """Add a request that was read."""
         if self.first is None:
             self.first = request
         else:
@@ -104,7 +104,7 @@
         self._requests.append(request)
 
     def end(self, request: CallerRequest) -> None:
-        """A request has ended, answered or not."""
+        """Remove a request that has ended, and resume the next one."""
         self._requests.remove(request)
         if self._requests:
             self.first = self._requests[0]
@@ -115,13 +115,13 @@
             self._emptied.set()
 
     async def all_ended(self) -> None:
-        """Wait until all requests that were read have ended; none may be read meanwhile."""
+        """Wait until all requests have ended; no request may be added meanwhile."""
         if self._requests:
             self._emptied = anyio.Event()
             await self._emptied.wait()
 
     def give_up(self) -> None:
-        """The caller has gone: give up all its calls that nobody else waits for."""
+        """Cancel all calls that depend on the caller, which has disconnected."""
         for request in tuple(self._requests):
             if request.watch is not None:
                 request.watch.give_up()
--- a/packages/calls/src/acaciayard_calls/_refusals.py
+++ b/packages/calls/src/acaciayard_calls/_refusals.py
@@ -1,4 +1,4 @@
-"""The answers that the system gives itself, told apart from those of targets by a header.
+"""Responses that the mesh itself sends, which a header distinguishes from those of targets.
 
 HTTP/1.1 503 Service Unavailable
 x-outcome: not_run
@@ -16,15 +16,15 @@
 from acaciayard_callmodel import OWN_DIALECT, Dialect, NotRun, OutcomeUnknown
 from acaciayard_http1 import Framing, Headers, HttpError, render_fields, response_bytes
 
-__all__ = ["OUTCOME_HEADER", "RejectedError", "fault_bytes", "not_run_bytes", "unknown_bytes"]
+__all__ = ["OUTCOME_HEADER", "RejectedError", "error_bytes", "not_run_bytes", "unknown_bytes"]
 
-#: Header of every answer that the system gives itself.
+#: Header of every response that the mesh itself sends.
 OUTCOME_HEADER: Final = b"x-outcome"
 _JSON: Final = (b"content-type", b"application/json")
 
 
 class RejectedError(Exception):
-    """The request is refused before it becomes a call."""
+    """The request is rejected before a call is made of it."""
 
     def __init__(self, status: int, refusal: NotRun) -> None:
         super().__init__(refusal.reason)
@@ -40,7 +40,7 @@
     bodiless: bool,
     dialect: Dialect = OWN_DIALECT,
 ) -> bytes:
-    """The answer to a call that has certainly not run."""
+    """The response to a call that certainly did not run."""
     body = {
         "outcome": "not_run",
         "reason": refusal.reason,
@@ -63,18 +63,18 @@
 def unknown_bytes(
     unknown: OutcomeUnknown, *, status: int, keep_alive: bool, bodiless: bool
 ) -> bytes:
-    """The answer to a call that may have run or not."""
+    """The response to a call of which it is unknown whether it ran."""
     body: dict[str, object] = {"outcome": "outcome_unknown", "reason": unknown.reason}
     headers = (_JSON, (OUTCOME_HEADER, b"outcome_unknown"))
     return _answer(status, headers, body, keep_alive=keep_alive, bodiless=bodiless)
 
 
-def fault_bytes(fault: HttpError, *, may_have_run: bool) -> bytes:
-    """The answer to a request that makes no sense; its connection is closed."""
+def error_bytes(error: HttpError, *, may_have_run: bool) -> bytes:
+    """The response to an invalid request, whose connection is closed."""
     outcome = "outcome_unknown" if may_have_run else "not_run"
-    body: dict[str, object] = {"outcome": outcome, "reason": fault.reason}
+    body: dict[str, object] = {"outcome": outcome, "reason": error.reason}
     headers = (_JSON, (OUTCOME_HEADER, outcome.encode()))
-    return _answer(fault.status, headers, body, keep_alive=False, bodiless=False)
+    return _answer(error.status, headers, body, keep_alive=False, bodiless=False)
 
 
 def _answer(
--- a/packages/calls/src/acaciayard_calls/_request_runs.py
+++ b/packages/calls/src/acaciayard_calls/_request_runs.py
@@ -1,4 +1,4 @@
-"""What becomes of the requests of one connection: from the route to the answer."""
+"""Runs the requests of one connection, from routing to the response."""
 
 from __future__ import annotations
 
@@ -33,15 +33,15 @@
 
 from ._answers import AnswerWriter
 from ._attempt import Answered, Attempt
-from ._claimer import AlreadyClaimed, Claimed, Claimer, kept_of
+from ._claimer import AlreadyClaimed, Claimed, Claimer, stored_outcome_of
 from ._identity import Identity, counted_of, identity_of
 from ._intake import (
     EntryContext,
     call_of,
-    is_small,
+    is_buffered,
     number_in,
     plan_for,
-    told_deadline,
+    requested_timeout,
 )
 from ._pipeline import CallerRequest, RequestPipeline
 from ._refusals import RejectedError
@@ -49,27 +49,27 @@
 
 __all__ = ["ConnectionParts", "RequestRuns"]
 
-#: Header that marks the kept answer of an earlier call with the same key.
+#: Header field of a stored response to an earlier call with the same idempotency key.
 REPLAYED: Final = b"x-replayed: true\r\n"
 
 
 @frozen
 class ConnectionParts:
-    """What the requests of one connection share."""
+    """The objects that the requests of one connection share."""
 
     #: The connection.
     stream: ByteStream
-    #: Reads requests and their bodies from it.
+    #: Reads requests and their bodies from the connection.
     reader: RequestReader
-    #: The requests that are under way.
+    #: The requests in progress.
     pipeline: RequestPipeline
-    #: Writes answers to it.
+    #: Writes responses to the connection.
     answers: AnswerWriter
-    #: Waits until the requests before one are answered; raises `StreamLostError` behind a closing
-    #: answer.
-    turn_of: Callable[[CallerRequest], Awaitable[None]]
-    #: Has another task read on beside the request that runs.
-    read_on: Callable[[], None]
+    #: Waits until all requests before the given one are answered; raises `StreamLostError` if a
+    #: response to one of them closed the connection.
+    wait_turn: Callable[[CallerRequest], Awaitable[None]]
+    #: Starts another task that reads the next request while the current one runs.
+    read_ahead: Callable[[], None]
 
 
 class RequestRuns:
@@ -89,7 +89,10 @@
         self._answers = parts.answers
 
     async def run(self, request: CallerRequest) -> None:
-        """Run a request that was read, and answer it in its turn; raises `RejectedError`."""
+        """Run a request and send its response after those of earlier requests.
+
+        Raises `RejectedError` if the request is rejected before a call is made of it.
+        """
         head = request.head
         ended = request.ended
         name = self._context.dialect.request_id
@@ -97,8 +100,8 @@
             ended.request_id = first_header(head.headers, name).decode("latin-1")
         router, plan = plan_for(head, self._context)
         if self._pipeline.first is not request and not _may_run_ahead(head, plan):
-            await self._parts.turn_of(request)
-            router, plan = plan_for(head, self._context)  # as it is by now
+            await self._parts.wait_turn(request)
+            router, plan = plan_for(head, self._context)  # the configuration may have changed
         ended.route = plan.route.name
         ended.service = plan.service.name
         ended.goal_ms = plan.latency_goal * 1000
@@ -134,7 +137,7 @@
     async def _run(
         self, request: CallerRequest, plan: Plan, router: Router, identity: Identity
     ) -> bool:
-        """Count the call for its workspace, and run it; whether a target answered it well."""
+        """Count the call for its workspace and run it; returns whether a target succeeded."""
         caps = self._context.caps
         if not caps.has_any:
             return await self._run_counted(request, plan, router, identity)
@@ -154,7 +157,7 @@
     async def _run_counted(
         self, request: CallerRequest, plan: Plan, router: Router, identity: Identity
     ) -> bool:
-        """Run the call; whether a target answered it well."""
+        """Run the call; returns whether a target succeeded."""
         head = request.head
         route = plan.route
         key = self._key_of(head) if route.key_required or not route.idempotent else b""
@@ -162,7 +165,7 @@
             raise RejectedError(400, NotRun("this route needs an Idempotency-Key header", 60.0))
         claimer = self._context.claimer
         is_keyed = bool(key) and not route.idempotent and claimer is not None
-        is_held = not request.body_unread or is_small(head, self._context)
+        is_held = not request.body_unread or is_buffered(head, self._context)
         if is_keyed and not is_held:
             reason = f"a call with a key needs a Content-Length up to {LARGEST_WHOLE_BODY}"
             raise RejectedError(413, NotRun(reason, 60.0))
@@ -190,10 +193,12 @@
         return await self._run_whole(request, call, plan, router)
 
     def _start_by(self, request: CallerRequest, plan: Plan) -> float:
-        """When a caller's call must have a slot, counted from when the caller asked first."""
+        """Latest useful start of a caller's call, measured from its estimated first request."""
         started = request.started
-        told = told_deadline(request.head, self._context)
-        first_asked = min(started, self._context.first_asked.of(plan.route.name, timeout=told))
+        caller_timeout = requested_timeout(request.head, self._context)
+        first_asked = min(
+            started, self._context.first_asked.of(plan.route.name, timeout=caller_timeout)
+        )
         if first_asked < started:
             request.ended.age_ms = round((started - first_asked) * 1000, 1)
         return start_by(plan, first_asked)
@@ -221,9 +226,9 @@
             if isinstance(part, End):
                 request.body_unread = False
             return part
-        raise HttpError(408, f"the body stood still for {plan.timeout.idle_s:g} s")
+        raise HttpError(408, f"no data of the request body for {plan.timeout.idle_s:g} s")
 
-    # --- whole bodies -------------------------------------------------------------------------
+    # --- buffered bodies ----------------------------------------------------------------------
 
     async def _run_whole(
         self, request: CallerRequest, call: Call, plan: Plan, router: Router
@@ -233,11 +238,11 @@
         may_retry = not header or number_in(head, header, 1) <= 1
         watch = request.watch = CallWatch()
         request.ended.tries = watch.tries
-        self._stream.watch_lost(self._pipeline.give_up, on_unread=self._parts.read_on)
+        self._stream.watch_lost(self._pipeline.give_up, on_unread=self._parts.read_ahead)
         if _may_run_ahead(head, plan):
             request.runs_concurrently = True
             if self._stream.has_unread or self._reader.has_pending:
-                self._parts.read_on()
+                self._parts.read_ahead()
         outcome = await self._context.dispatcher.run(call, plan, router, watch, may_retry=may_retry)
         for each in watch.tries:
             if each.is_unknown:
@@ -254,7 +259,7 @@
         head = request.head
         is_barred = isinstance(outcome, NotRun) and outcome.is_barred
         is_good = isinstance(outcome, Answered) and outcome.answer.status < 500
-        if not (is_good or is_barred):  # what is barred tells nothing of how callers come back
+        if not (is_good or is_barred):  # barred requests say nothing about how callers retry
             self._context.first_asked.note_failure(plan.route.name)
         if not is_good and request.parent is not None:
             self._context.targets.note_inner_lost(request.parent)
@@ -263,7 +268,7 @@
                 try:
                     if self._pipeline.first is not request:
                         request.buffered_bytes += len(answer.body)
-                        await self._parts.turn_of(request)
+                        await self._parts.wait_turn(request)
                     await self._answers.relay(head, plan, answer, attempt)
                 finally:
                     attempt.close()
@@ -276,16 +281,16 @@
                 request.ended.is_by_target = outcome.is_by_target
                 request.ended.is_barred = outcome.is_barred
                 if self._pipeline.first is not request:
-                    await self._parts.turn_of(request)
+                    await self._parts.wait_turn(request)
                 await self._answers.refuse(head, outcome, 503)
             case OutcomeUnknown():
                 request.note("unknown", 504, outcome.reason)
                 if self._pipeline.first is not request:
-                    await self._parts.turn_of(request)
+                    await self._parts.wait_turn(request)
                 await self._answers.unknown(head, outcome, 504)
         return False
 
-    # --- keys ---------------------------------------------------------------------------------
+    # --- idempotency keys ---------------------------------------------------------------------
 
     async def _run_keyed(
         self,
@@ -296,33 +301,37 @@
         key: bytes,
         claimer: Claimer,
     ) -> bool:
-        """Run a call with a key; a caller that goes away does not stop it, it may come back."""
+        """Run a call with an idempotency key.
+
+        The call continues if its caller disconnects, since the caller may repeat it and then gets
+        the stored response.
+        """
         head = request.head
         scope = f"{plan.route.name}\0{self._caller_of(head)!r}"
         match await claimer.claim(scope, key):
             case NotRun() as refusal:
                 await self._answers.refuse(head, refusal, 503)
                 return False
-            case AlreadyClaimed() as taken:
-                return await self._repeat(head, call, taken, claimer)
+            case AlreadyClaimed() as already_claimed:
+                return await self._repeat(head, call, already_claimed, claimer)
             case Claimed() as claimed:
                 pass
-        kept: Answer | NotRun | None = None
+        stored: Answer | NotRun | None = None
         try:
             outcome = await self._context.dispatcher.run(
                 call, plan, router, CallWatch(), may_retry=False
             )
-            kept = kept_of(outcome)
+            stored = stored_outcome_of(outcome)
         finally:
-            claimer.finish(claimed, kept)
+            claimer.finish(claimed, stored)
         return await self._finish(request, plan, outcome)
 
     async def _repeat(
-        self, head: RequestHead, call: Call, taken: AlreadyClaimed, claimer: Claimer
+        self, head: RequestHead, call: Call, already_claimed: AlreadyClaimed, claimer: Claimer
     ) -> bool:
-        """Answer a call whose key another call holds with the answer to that one."""
+        """Answer a call whose key is already claimed with the response to the earlier call."""
         remaining = max(0.0, call.deadline - self._timers.now())
-        match await claimer.earlier_answer(taken, within=remaining):
+        match await claimer.earlier_answer(already_claimed, within=remaining):
             case Answer() as answer:
                 await self._answers.whole(head, answer, extra=REPLAYED)
                 return answer.status < 500
@@ -333,7 +342,7 @@
                 await self._answers.unknown(head, OutcomeUnknown(reason), 409)
         return False
 
-    # --- streaming bodies ---------------------------------------------------------------------
+    # --- streamed bodies ----------------------------------------------------------------------
 
     async def _run_streaming(
         self, request: CallerRequest, call: Call, plan: Plan, router: Router
@@ -366,7 +375,7 @@
         return await self._finish(request, plan, outcome)
 
     async def _pump_body(self, request: CallerRequest, attempt: Attempt, plan: Plan) -> None:
-        """Pass the request's body on; where the target is lost the answer tells."""
+        """Forward the request body; if the target is lost, its response reports that."""
         while True:
             part = await self._next_part(request, plan)
             try:
@@ -381,8 +390,9 @@
 
 
 def _may_run_ahead(head: RequestHead, plan: Plan) -> bool:
-    """Whether a request may run beside others of its connection.
+    """Whether a request may run concurrently with earlier ones of its connection.
 
-    Where an earlier answer closes the connection its caller sends it again although it has run.
+    It must be idempotent: if an earlier response closes the connection, the caller resends the
+    request although it may have run.
     """
     return plan.route.idempotent and head.framing is Framing.NONE
--- a/packages/calls/src/acaciayard_calls/_slot_deadlines.py
+++ b/packages/calls/src/acaciayard_calls/_slot_deadlines.py
@@ -1,4 +1,4 @@
-"""How long a call may wait for a slot, and what a call for another one inherits."""
+"""How long a call may wait for a slot, and what nested calls inherit from their parent."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 
 __all__ = ["nested", "start_by"]
 
-#: Share of a call's latency goal, counted from when its caller asked first, for which a slot is
-#: worth waiting for, by priority class.  Beyond it most calls would be answered late, and take the
-#: slots of calls that would not.  For the lowest class 0.4 in place of 0.25 earned overloaded
-#: deployments 0.02 less of what they were owed; for the higher ones 0.5 in place of 0.3 earned 0.01
-#: to 0.04 less.
+#: Share of a call's latency goal, counted from the first request of its caller, for which the call
+#: waits for a slot, by priority class.  After longer waits most calls would miss their goal, and
+#: would use the slots of calls that could meet it.  In overloaded deployments, 0.4 in place of 0.25
+#: for the lowest class lowered the value of the answered calls by 0.02 of its maximum, and 0.5 in
+#: place of 0.3 for the higher classes lowered it by 0.01 to 0.04.
 _WAIT_SHARES: Final = (0.3, 0.3, 0.25)
 
 
 def start_by(plan: Plan, first_asked: float) -> float:
-    """Until when a slot is worth waiting for; in the past for a repeat that can only be late.
+    """Latest useful start of a call; in the past for a retry that cannot meet its latency goal.
 
-    Such a call is taken only where a slot is free that nobody waits for.
+    A gate admits such a call only if a slot is free and no other call waits for it.
     """
     if plan.latency_goal <= 0:
         return math.inf
@@ -29,11 +29,11 @@
 
 
 def nested(call: Call, parent: Call, *, is_full: bool) -> Call:
-    """A call that a target makes for the call `parent` that it runs.
+    """A nested call, which a target makes while it runs the call `parent`.
 
-    Refusing it throws away the work that was done for the other one, whose slot it holds up: it
-    goes first, and it may wait as long as its caller does.  Where `is_full`, others wait for that
-    slot, so that it goes to the fastest host of all failure domains.
+    A refusal would waste the work done for the parent, which keeps its slot meanwhile.  A nested
+    call therefore has the highest priority and may wait until its deadline.  If `is_full`, other
+    calls wait for the parent's slot, so that it goes to the fastest host of all failure domains.
     """
     return call.with_changes(
         priority=0,
