--- a/packages/callmodel/src/acaciayard_callmodel/__init__.py
+++ b/packages/callmodel/src/acaciayard_callmodel/__init__.py
@@ -1,4 +1,4 @@
-"""What a call is, what may become of it, and how it is told of."""
+"""The data model of calls: requests, outcomes, exchanges with targets, and events."""
 
 from ._call import (
     LARGEST_WHOLE_BODY,
--- a/packages/callmodel/src/acaciayard_callmodel/_call.py
+++ b/packages/callmodel/src/acaciayard_callmodel/_call.py
@@ -1,4 +1,4 @@
-"""A call on its way, and what may become of it."""
+"""Calls, their possible outcomes, and the interface of an exchange with a target."""
 
 from __future__ import annotations
 
@@ -26,127 +26,128 @@
     "OutcomeUnknown",
 ]
 
-#: Bodies up to so many bytes travel in one piece with their head.
+#: Size in bytes up to which a body is buffered and sent together with its head.
 LARGEST_WHOLE_BODY: Final = 64 * 1024
-#: Length of a body whose end is not known beforehand.
+#: Length of a body that is not known in advance.
 UNKNOWN_LENGTH: Final = -1
 
 
 @frozen
 class Call:
-    """A caller's request, matched to a route."""
+    """A caller's request that was matched to a route."""
 
-    #: Service that is to answer.
+    #: Name of the service that the call is for.
     service: str
     #: HTTP method.
     method: bytes
     #: Path and query.
     target: bytes
-    #: Rendered header fields without those of the connection and of the framing.
+    #: Rendered header fields, without hop-by-hop and framing fields.
     fields: bytes
-    #: The body, if it is whole already.
+    #: The part of the body that was read.
     body: bytes
-    #: Whether `body` is all there is.
+    #: Whether `body` is the complete body.
     is_whole: bool
-    #: Bytes of the body, or `UNKNOWN_LENGTH`.
+    #: Length of the body in bytes, or `UNKNOWN_LENGTH`.
     length: int
     #: Priority class as an index of `PRIORITIES`.
     priority: int
-    #: When the caller is no longer served, by the timer service of this daemon.
+    #: Deadline of the caller, on the clock of this daemon's timer service.
     deadline: float
-    #: Identity of the request that targets repeat, empty where there is none.
+    #: Identity of the request, which targets repeat in their responses; empty if there is none.
     request_id: bytes = b""
-    #: Until when a slot is worth waiting for, by the timer service; `inf` for as long as it takes.
+    #: Latest useful start, on the clock of the timer service: the call does not wait longer for a
+    #: slot; `inf` for no limit.
     start_by: float = math.inf
-    #: Whether running the call twice does no harm.
+    #: Whether running the call twice is harmless.
     is_idempotent: bool = False
-    #: Whether the fastest host counts for more than one in the own failure domain.
+    #: Whether the fastest host is preferred to hosts in the same failure domain.
     prefers_fastest: bool = False
-    #: Whether a target may have run the call before, or it is made by a run that was a repeat.
+    #: Whether a target may have run the call before, or its parent call is such a repeat.
     is_repeat: bool = False
-    #: What the entry holds against the call, `None` for nothing; it travels with the call, since a
-    #: second try comes to its host before the news of the first one's end.
+    #: The entry's suspicion that the request crashes targets, `None` if there is none.  It is sent
+    #: along with the call, since a retry reaches its host before the report of the first failure.
     suspicion: Suspicion | None = None
-    #: Workspace whose key its caller showed, or that of the call for which it is made; empty where
-    #: the configuration has no workspaces, or the route asks for no key.
+    #: Workspace of the caller's key, or that of the parent of a nested call; empty if the
+    #: configuration has no workspaces or the route requires no key.
     workspace: str = ""
-    #: Calls that wait for its answer before a caller gets one, 0 for a caller's own.
+    #: Number of parent calls that wait for its response, 0 if it is not nested.
     depth: int = 0
 
     def with_changes(self, **changes: Any) -> Call:
         """A copy with some attributes changed.
 
-        Made at each offer, so it is written out: 3 us in place of 6 with `attrs.evolve`.
+        It is called for each offer and therefore hand-written: it takes 3 us, `attrs.evolve` 6 us.
         """
-        values = list(_VALUES_OF_CALL(self))
+        values = list(_CALL_FIELD_VALUES(self))
         for name, value in changes.items():
-            values[_PLACES_IN_CALL[name]] = value
+            values[_CALL_FIELD_INDEXES[name]] = value
         return Call(*values)
 
     @property
     def wants_head_only(self) -> bool:
-        """Whether the answer has no body whatever its headers say."""
+        """Whether the response has no body regardless of its headers."""
         return self.method == b"HEAD"
 
 
-_NAMES_IN_CALL: Final = tuple(attribute.name for attribute in fields(Call))
-_PLACES_IN_CALL: Final = {name: place for place, name in enumerate(_NAMES_IN_CALL)}
-_VALUES_OF_CALL: Final = attrgetter(*_NAMES_IN_CALL)
+_CALL_FIELD_NAMES: Final = tuple(attribute.name for attribute in fields(Call))
+_CALL_FIELD_INDEXES: Final = {name: index for index, name in enumerate(_CALL_FIELD_NAMES)}
+_CALL_FIELD_VALUES: Final = attrgetter(*_CALL_FIELD_NAMES)
 
 
 @frozen
 class Answer:
-    """A target's answer; its body follows unless it is whole."""
+    """A target's response; its body is streamed afterwards unless it is complete."""
 
     #: HTTP status.
     status: int
-    #: Rendered header fields without those of the connection and of the framing.
+    #: Rendered header fields, without hop-by-hop and framing fields.
     fields: bytes
-    #: The body, if it is whole already.
+    #: The complete body if `is_whole`.
     body: bytes
-    #: Whether `body` is all there is.
+    #: Whether `body` is the complete body.
     is_whole: bool
-    #: Bytes of the body, or `UNKNOWN_LENGTH`.
+    #: Length of the body in bytes, or `UNKNOWN_LENGTH`.
     length: int
-    #: Whether the target marks the end of its body by closing, so that nobody can tell a cut.
+    #: Whether the end of the connection delimits the body, so that truncation cannot be detected.
     ends_by_close: bool = False
-    #: Trailers, where the body is whole.
+    #: Trailers, if the body is complete.
     trailers: Headers = ()
-    #: Whether it is a failure that follows from another one: a call that the target made for this
-    #: one was refused or lost.  It says nothing of the target, nor of the version of its software.
+    #: Whether it is a failure caused by a nested call that was refused or lost.  Such a failure is
+    #: no evidence against the target or the version of its software.
     lacks_inner: bool = False
 
 
 @frozen
 class NotRun:
-    """The call was refused before any target began to work on it."""
+    """The call was refused before any target began to process it."""
 
-    #: Why, for people.
+    #: Human-readable reason.
     reason: str
-    #: Seconds after which another try makes sense.
+    #: Seconds after which the caller should retry.
     retry_after: float
-    #: Whether the refusal came from too much work; other hosts are likely to be full as well.
+    #: Whether the refusal is due to overload; other hosts are then likely to be overloaded as well.
     is_overload: bool = False
-    #: Whether a target itself refused, so that the call counts as one that arrived there.
+    #: Whether the target itself refused, so that the call counts as one that reached a target.
     is_by_target: bool = False
-    #: Whether the call itself is refused, so that every host would refuse it.
+    #: Whether the request itself is barred, so that every host would refuse it.
     is_barred: bool = False
 
 
 @frozen
 class OutcomeUnknown:
-    """The call may have run or not; nobody can tell."""
+    """It is unknown whether the call ran."""
 
-    #: What happened instead of an answer.
+    #: Human-readable reason for the missing response.
     reason: str
-    #: Whether the host gave no sign of life at all.
+    #: Whether the host never acknowledged the call.
     is_silent: bool = False
-    #: Whether the target ended, and perhaps under this call.
+    #: Whether the target terminated during the call, so that the call may be the cause.
     is_blamed: bool = False
 
 
 class CallWatch:
-    """Lets a caller that goes away give up its call, wherever that is at the moment."""
+    """Tracks the attempts of a call, and cancels them when the caller disconnects."""
 
     def __init__(self) -> None:
         self._exchanges: list[Exchange] = []
@@ -155,84 +156,85 @@
 
     @property
     def tries(self) -> list[Try]:
-        """The offers made so far."""
+        """The finished attempts."""
         return self._tries
 
     @property
     def is_given_up(self) -> bool:
-        """Whether the caller has gone."""
+        """Whether the caller has disconnected."""
         return self._is_given_up
 
     def follow(self, exchange: Exchange) -> None:
-        """The call is on its way by this exchange, beside those before it that have not ended."""
+        """Add an exchange of the call; it is aborted if the caller has already disconnected."""
         self._exchanges.append(exchange)
         if self._is_given_up:
             exchange.abort()
 
     def give_up(self) -> None:
-        """The caller has gone."""
+        """Abort all exchanges, as the caller has disconnected."""
         self._is_given_up = True
         for exchange in self._exchanges:
             exchange.abort()
 
 
 class Exchange(ABC):
-    """One attempt of a call at one target.
+    """The interface for one attempt of a call at one target.
 
-    The order of use: `send_part` and `finish` for a body that is not whole, `answer` at the same
-    time or after, then `next_part` until `End`.  `close` always comes last.
+    Order of use: `start`; for a body that is not complete, `wait_admitted`, then `send_part` and
+    `finish`; `answer` concurrently or afterwards; then `next_part` until `End`.  `close` must be
+    called last in every case.
     """
 
     @abstractmethod
     async def start(self) -> NotRun | None:
-        """Hand the call over; the refusal where it could not be, so that it has not run."""
+        """Send the call to the host; returns a refusal if that failed and the call did not run."""
 
     @property
     @abstractmethod
     def was_sent(self) -> bool:
-        """Whether anything that could make the call run has been sent."""
+        """Whether anything was sent that may cause the call to run."""
 
     @property
     @abstractmethod
     def is_acknowledged(self) -> bool:
-        """Whether the host has given a sign that the call has come."""
+        """Whether the host has acknowledged the call."""
 
     def on_acknowledged(self, callback: Callable[[], None]) -> None:  # noqa: B027 - may be left out
-        """Call `callback` as soon as the host gives such a sign, where this exchange can tell."""
+        """Call `callback` when the host acknowledges the call, if this exchange detects that."""
 
     @property
     @abstractmethod
     def is_committed(self) -> bool:
-        """Whether the call may run from now on without another word from here."""
+        """Whether the call may run without any further message from this side."""
 
     @abstractmethod
     def abort(self) -> None:
-        """Give the call up: what is awaited now, or later, ends at once.
+        """Abort the call: its pending and later operations return at once.
 
-        Called from timers and from connections that are lost; this costs a call less than a
-        cancel scope does.
+        It is called by timers and when connections are lost, and costs less per call than a cancel
+        scope.
         """
 
     @abstractmethod
     async def answer(self) -> Answer | NotRun | OutcomeUnknown:
-        """What the target says."""
+        """Wait for the head of the target's response, or for another outcome."""
 
     @abstractmethod
     async def wait_admitted(self) -> NotRun | None:
-        """Return once the body may be sent, or the refusal."""
+        """Wait until the body may be sent; returns the refusal if the call is not admitted."""
 
     @abstractmethod
     async def send_part(self, data: bytes) -> None:
-        """Send some bytes of the body; raises `StreamLostError`."""
+        """Send a part of the request body; raises `StreamLostError`."""
 
     @abstractmethod
     async def finish(self, trailers: Headers) -> None:
-        """Tell that the body is whole; raises `StreamLostError`."""
+        """Send the end of the request body; raises `StreamLostError`."""
 
     @abstractmethod
     async def next_part(self) -> BodyPart | End:
-        """The next bytes of the answer's body or its end; raises `StreamLostError` for a cut."""
+        """The next part of the response body or its end; raises `StreamLostError` if truncated."""
 
     @abstractmethod
     def close(self) -> None:
-        """Release everything; cancels the call at the target where it has not ended."""
+        """Release all resources; cancels the call at the target if it has not ended."""
--- a/packages/callmodel/src/acaciayard_callmodel/_caps.py
+++ b/packages/callmodel/src/acaciayard_callmodel/_caps.py
@@ -1,4 +1,4 @@
-"""What limits how many calls a workspace may make, as an entry asks it."""
+"""The interface through which entries enforce the usage caps of workspaces."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 
 
 class CountedCall:
-    """A call that its workspace may make."""
+    """A call that its workspace may make; `UsageCaps.give_back` reverts its count."""
 
 
-#: A call that nobody counts.
+#: A call that is not counted for any workspace.
 UNCOUNTED: Final = CountedCall()
 
 
 class UsageCaps(ABC):
-    """The caps of all workspaces, kept over all daemons together.
+    """The usage caps of all workspaces, enforced across all daemons.
 
-    Asked before the body of a call is read.
+    They are checked before the body of a call is read.
 
     Example:
         counted = await caps.take("north")
@@ -31,19 +31,19 @@
 
     @property
     def has_any(self) -> bool:
-        """Whether any workspace has a cap, so that calls have to be counted."""
+        """Whether any workspace has a cap, so that calls must be counted."""
         return True
 
     @abstractmethod
     async def take(self, workspace: str) -> CountedCall | NotRun:
-        """Count one more call of a workspace; the refusal where it has none left now.
+        """Count a call of a workspace; returns a refusal if its cap is exhausted.
 
-        Waits for words of other daemons, for some milliseconds at most.
+        It may wait a few milliseconds for messages of other daemons.
         """
 
     @abstractmethod
     def give_back(self, counted: CountedCall) -> None:
-        """A call that was counted has reached no target, and never will."""
+        """Revert the count of a call that has not reached a target and never will."""
 
 
 class _NoCaps(UsageCaps):
@@ -58,5 +58,5 @@
         pass
 
 
-#: Where no workspace has a cap.
+#: Usage caps for configurations in which no workspace has a cap.
 NO_CAPS: Final[UsageCaps] = _NoCaps()
--- a/packages/callmodel/src/acaciayard_callmodel/_dialect.py
+++ b/packages/callmodel/src/acaciayard_callmodel/_dialect.py
@@ -1,7 +1,7 @@
-"""The header fields by which callers, daemons and targets tell each other about a call.
+"""Names of the header fields that callers, daemons and targets exchange about a call.
 
-The project's own names are the defaults; a deployment whose callers and targets use other names
-hands another `Dialect` to the parts of the call path:
+The defaults are the names of this project.  A deployment with callers and targets that use other
+names passes its own `Dialect` to the call path:
 
     Dialect(deadline=b"x-time-left-ms", request_id=b"x-request-id")
 """
@@ -17,34 +17,34 @@
 
 @frozen
 class Dialect:
-    """Names of header fields, in lower case; an empty name means that there is no such field."""
+    """Names of header fields in lower case; an empty name means that the field is not used."""
 
-    #: Milliseconds that the caller still waits; towards a target what is left of them.
+    #: Milliseconds that the caller will wait; in requests to a target, the remaining ones.
     deadline: bytes = b"x-deadline-ms"
-    #: Who calls; used for limits by caller.
+    #: Name of the caller, used for limits by caller.
     caller: bytes = b"x-caller"
     #: Idempotency key of a call.
     key: bytes = b"idempotency-key"
-    #: How many calls stand behind one another.
+    #: Nesting depth of a call.
     depth: bytes = b"x-call-depth"
-    #: Number of the attempt, sent with the second and further ones.
+    #: Number of the attempt, sent with the second and later ones.
     attempt: bytes = b"x-call-attempt"
-    #: Identity of the request, which targets repeat in their answers.
+    #: Identity of the request, which targets repeat in their responses.
     request_id: bytes = b""
-    #: Identity of the target that is meant; another one refuses the call.
+    #: Identity of the intended target; any other target refuses the call.
     expected_target: bytes = b""
-    #: By this a target says that it has not run the call.
+    #: Marks a response by which a target states that it has not run the call.
     not_run: bytes = b""
-    #: By this a target proves that an answer is its own; a success without it is spoiled.
+    #: Authenticates a target's response; a successful response without it is treated as corrupt.
     response_signature: bytes = b""
-    #: Service of the host that the call came from; set by the entry whatever the caller sent.
+    #: Service of the host from which the call came; the entry overwrites the caller's value.
     origin: bytes = b""
-    #: Key of the caller's workspace; looked at, and taken out, where there are workspaces.
+    #: API key of the caller's workspace; checked and removed if the configuration has workspaces.
     credential: bytes = b"x-api-key"
-    #: Workspace that a call is made for; set by the entry whatever the caller sent, where there are
+    #: Workspace of the call; the entry overwrites the caller's value if the configuration has
     #: workspaces.
     workspace: bytes = b"x-workspace"
-    #: Whether `Retry-After` may hold fractions of a second.
+    #: Whether `Retry-After` may contain fractions of a second.
     has_fractional_retry_after: bool = False
 
     def with_changes(self, **changes: Any) -> Dialect:
@@ -53,15 +53,15 @@
 
     @property
     def replaced(self) -> frozenset[bytes]:
-        """Fields of a caller's request that are not passed on as they came."""
+        """Fields of a caller's request that are removed or replaced before it is forwarded."""
         names = (self.deadline, self.depth, self.attempt, self.expected_target, self.origin)
         return frozenset(name for name in (*names, b"expect") if name)
 
     @property
     def identifying(self) -> frozenset[bytes]:
-        """Fields that are not passed on as they came where the configuration has workspaces."""
+        """Fields that are also removed or replaced if the configuration has workspaces."""
         return frozenset(name for name in (self.credential, self.workspace) if name)
 
 
-#: The names that this project gives.
+#: The default names.
 OWN_DIALECT: Final = Dialect()
--- a/packages/callmodel/src/acaciayard_callmodel/_events.py
+++ b/packages/callmodel/src/acaciayard_callmodel/_events.py
@@ -1,4 +1,4 @@
-"""What the call path tells about each call, for logs and metrics."""
+"""Events that the call path reports about each call, for logs and metrics."""
 
 from __future__ import annotations
 
@@ -11,102 +11,103 @@
 
 @frozen
 class Try:
-    """One offer of a call to a host, and what came of it."""
+    """One attempt of a call at a host, and its outcome."""
 
-    #: The host.
+    #: Name of the host.
     host: str
-    #: `"answer 200"`, `"refused: …"` or `"unknown: …"`, and `" by v2"` where the service moves.
+    #: `"answer 200"`, `"refused: …"` or `"unknown: …"`, with the suffix `" by v2"` in a rollout.
     outcome: str
-    #: Milliseconds that it took.
+    #: Duration in milliseconds.
     ms: float
 
     @property
     def is_unknown(self) -> bool:
-        """Whether nobody can tell whether the call has run there."""
+        """Whether it is unknown whether the call ran at the host."""
         return self.outcome.startswith("unknown")
 
 
 @define
 class CallEnded:
-    """A caller's request has got its final answer, or its caller is gone."""
+    """The end of a caller's request: its final response was sent, or the caller disconnected."""
 
-    #: Identity of the request, empty where callers name none.
+    #: Identity of the request, empty if callers send none.
     request_id: str = ""
-    #: Route that matched, empty for none.
+    #: Matched route, empty if there is none.
     route: str = ""
-    #: Service that was to answer.
+    #: Service of the route.
     service: str = ""
-    #: Version of the configuration that chose both.
+    #: Version of the configuration with which the request was matched.
     version: int = 0
     #: `"answered"`, `"not_run"`, `"unknown"`, `"rejected"` or `"caller_gone"`.
     outcome: str = "caller_gone"
     #: Status sent to the caller, 0 for none.
     status: int = 0
-    #: Why, where it was not answered.
+    #: Reason for an outcome other than `"answered"`.
     reason: str = ""
-    #: Seconds that a refused caller was told to wait, negative where it was told nothing.
+    #: Retry-After in seconds that was sent with a refusal, negative if none was sent.
     retry_after: float = -1.0
-    #: Milliseconds from the head of the request to the end of its answer.
+    #: Milliseconds from the head of the request to the end of its response.
     ms: float = 0.0
-    #: Milliseconds within which an answer is worth most, 0 where the route has no such goal.
+    #: Latency goal in milliseconds, 0 if the route has none.
     goal_ms: float = 0.0
-    #: Whether a refusal came from too much work.
+    #: Whether a refusal was due to overload.
     is_overload: bool = False
     #: Whether the target itself refused.
     is_by_target: bool = False
-    #: Whether it was refused as a request that ends targets.
+    #: Whether it was refused as a request that crashes targets.
     is_barred: bool = False
-    #: Milliseconds for which its caller has been asking already, 0 for a first call; an estimate.
+    #: Estimated milliseconds since its caller first sent it, 0 if it is not a retry.
     age_ms: float = 0.0
-    #: What it asks for, in hexadecimal digits, the same each time that it comes; told where a try
-    #: was lost, empty elsewhere.
+    #: Hexadecimal fingerprint of the request, equal for repeated requests; set if the outcome of an
+    #: attempt was unknown, otherwise empty.
     fingerprint: str = ""
-    #: Workspace that asked, empty for none.
+    #: Workspace of the request, empty for none.
     workspace: str = ""
-    #: Requests of its connection that were not answered when it was read.
+    #: Number of earlier requests of its connection that were unanswered when it was read.
     behind: int = 0
-    #: Milliseconds for which it waited for the answers to those.
+    #: Milliseconds for which it waited for the responses to those.
     held_ms: float = 0.0
-    #: Hosts that it was offered to, in order.
+    #: Finished attempts in order.
     tries: list[Try] = field(factory=list)
 
 
 @frozen
 class OfferEnded:
-    """A call that another daemon handed over has ended at the target here."""
+    """The end of a call that another daemon offered to a target on this host."""
 
-    #: Identity of the request, empty where callers name none.
+    #: Identity of the request, empty if callers send none.
     request_id: str
     #: Service of the target.
     service: str
     #: `"answered"`, `"not_run"` or `"unknown"`.
     outcome: str
-    #: Why, where it was not answered.
+    #: Reason for an outcome other than `"answered"`.
     reason: str
-    #: Calls running and waiting at the target, per slot.
+    #: Running and queued calls at the target per slot.
     load: float
-    #: Milliseconds that it took here.
+    #: Duration on this host in milliseconds.
     ms: float
-    #: Workspace that it is made for, empty for none.
+    #: Workspace of the call, empty for none.
     workspace: str = ""
 
 
 class CallEvents:
-    """Is told how calls end; this one lets it pass."""
+    """Receives the events of calls; this base class ignores those of ended calls."""
 
     def call_ended(self, ended: CallEnded) -> None:
-        """A caller's request has ended at this entry."""
+        """Handle the end of a caller's request at this entry."""
 
     def offer_ended(self, ended: OfferEnded) -> None:
-        """A call that was handed over has ended at this host's target."""
+        """Handle the end of a call that another daemon offered to a target on this host."""
 
     def connection_failed(self, error: Exception) -> None:
-        """A fault of this program ended one connection; its task ends with the fault unless told.
+        """Handle an unexpected exception that ended one connection.
 
-        A daemon serves hundreds of connections: where this is overridden, the others go on.
+        The default re-raises it in the task of the connection.  A daemon overrides this method so
+        that its other connections, often hundreds, continue.
         """
         raise error
 
 
-#: For daemons that tell nothing about single calls.
+#: For daemons that report no events about single calls.
 NO_EVENTS: Final = CallEvents()
--- a/packages/callmodel/src/acaciayard_callmodel/_fingerprints.py
+++ b/packages/callmodel/src/acaciayard_callmodel/_fingerprints.py
@@ -1,7 +1,7 @@
-"""Tells which calls are the same request, whoever brings it and however often.
+"""Fingerprints of calls, which identify repeated requests across retries and daemons.
 
-The identity of a call is new with each attempt of its caller, and each daemon that it comes to sees
-one of them.  What stays the same is what a target is asked to do, and for whom:
+Each retry of a caller has a new request identity and may reach another daemon.  The contents of the
+request and its caller stay the same:
 
     fingerprint_of(call, dialect) == fingerprint_of(the_same_call_come_again, dialect)
 """
@@ -16,17 +16,17 @@
 
 __all__ = ["FINGERPRINT_BYTES", "fingerprint_of"]
 
-#: Bytes of a fingerprint: two of a million requests are alike with a chance of one in 3 * 10^7.
+#: Bytes of a fingerprint.  A million requests collide with a probability of 1 in 3 * 10^7.
 FINGERPRINT_BYTES: Final = 8
 _HOST: Final = b"host"
 
 
 def fingerprint_of(call: Call, dialect: Dialect) -> bytes:
-    """What a call asks for: method, host, path, caller and body.
+    """A digest of a call's method, host, path, caller and body.
 
-    It takes 9 us for a call without a body and 2.6 ms for a body of 1 MB (medians of seven, beside
-    other work).  A body that streams is not known: such calls are told apart by their heads and
-    lengths alone.
+    It takes 9 us for a call without a body and 2.6 ms for a body of 1 MB (medians of seven runs on
+    a loaded machine).  The body of a streamed call is not included: such calls are distinguished
+    only by their heads and lengths.
     """
     digest = hashlib.blake2b(digest_size=FINGERPRINT_BYTES)
     for part in (call.method, call.target, *_identifying_fields(call, dialect)):
@@ -38,7 +38,7 @@
 
 
 def _identifying_fields(call: Call, dialect: Dialect) -> list[bytes]:
-    """The header fields that tell where a call goes and for whom, in one order."""
+    """The header fields that identify the destination and the caller of a call, sorted."""
     names = {_HOST, dialect.origin, dialect.caller} - {b""}
     lines = call.fields.split(b"\r\n")
     return sorted(line for line in lines if line.partition(b":")[0].lower() in names)
--- a/packages/callmodel/src/acaciayard_callmodel/_header_fields.py
+++ b/packages/callmodel/src/acaciayard_callmodel/_header_fields.py
@@ -1,4 +1,4 @@
-"""Which header fields of a message belong to its connection and which travel on."""
+"""Separates hop-by-hop header fields from those that are forwarded."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 
 
 def end_to_end(headers: Headers) -> Headers:
-    """Header fields without those of the connection and of the framing."""
+    """The header fields without hop-by-hop and framing fields."""
     dropped = _NOT_PASSED_ON
     if any(name == b"connection" for name, _ in headers):
-        dropped |= _named(headers)
+        dropped |= _connection_options(headers)
     return tuple([field for field in headers if field[0] not in dropped])
 
 
-def _named(headers: Headers) -> frozenset[bytes]:
-    """Headers that `Connection` declares to belong to the connection."""
+def _connection_options(headers: Headers) -> frozenset[bytes]:
+    """The fields that a `Connection` header declares as hop-by-hop."""
     return frozenset(
         name.strip().lower()
         for field, value in headers
