--- a/packages/calls/tests/ablation.py
+++ b/packages/calls/tests/ablation.py
@@ -82,14 +82,15 @@
         "at once back to targets that shed",
         lambda: mock.patch("load_exchange.refused_by_target", _late_return),
     ),
-    Mechanism("sound targets first", lambda: mock.patch.object(Picker, "_sound", _whole_domain)),
-    Mechanism("free slots first", lambda: mock.patch.object(offers, "_EAGER_OFFERS", 0)),
+    Mechanism("sound targets first", lambda: mock.patch.object(Picker, "_healthy", _whole_domain)),
+    Mechanism("free slots first", lambda: mock.patch.object(offers, "_NO_WAIT_OFFERS", 0)),
     Mechanism(
         "no eager offer to a host known to be full",
         lambda: mock.patch.object(Picker, "is_full", lambda _self, _candidate: False),
     ),
     Mechanism(
-        "choice by expected time", lambda: mock.patch.object(Picker, "_best_of_some", _any_of_pool)
+        "choice by expected time",
+        lambda: mock.patch.object(Picker, "_best_of_sample", _any_of_pool),
     ),
     Mechanism(
         "own failure domain first", lambda: mock.patch.object(Picker, "_pool", _whole_domain)
--- a/packages/calls/tests/test_uneven.py
+++ b/packages/calls/tests/test_uneven.py
@@ -122,7 +122,7 @@
         self.assertGreater(least_in_goal(run_load(uneven_load(1.3), seed=1)), 0.93)
 
     def test_a_choice_that_knows_nothing_of_targets_is_not_enough(self) -> None:
-        with mock.patch.object(Picker, "_best_of_some", _any_of_pool):
+        with mock.patch.object(Picker, "_best_of_sample", _any_of_pool):
             outcome = run_load(uneven_load(1.3), seed=1)
         self.assertLess(least_in_goal(outcome), 0.93)
 
--- a/packages/routing/src/acaciayard_routing/__init__.py
+++ b/packages/routing/src/acaciayard_routing/__init__.py
@@ -1,4 +1,4 @@
-"""Choosing a target: routes, the hosts that can take a call, and which of them gets it."""
+"""Route matching and load balancing: which service answers a call, and on which host."""
 
 from ._candidates import Candidate
 from ._key_holders import KeyHolders
--- a/packages/routing/src/acaciayard_routing/_candidates.py
+++ b/packages/routing/src/acaciayard_routing/_candidates.py
@@ -1,4 +1,4 @@
-"""The hosts that a call may go to, and what this daemon has learnt of each."""
+"""Candidate hosts for the calls of a service, with the statistics kept about each of them."""
 
 from __future__ import annotations
 
@@ -13,162 +13,169 @@
 from acaciayard_membership import TargetState
 from acaciayard_wire import Address
 
-__all__ = ["FAILURE_MEMORY", "TOLERATED", "Candidate", "Candidates"]
-
-#: Seconds in which what a host told of its load loses two thirds of its weight.
-_LOAD_MEMORY: Final = 2.0
-#: Hosts of the own failure domain, and of the others, that one call looks at.  The load of a domain
-#: is reckoned from them and three of them are compared.  A choice among 560 hosts took 529 us where
-#: it looked at all of them, and takes 66 (13 hosts: 55; one run on a busy machine).
-_LOOKED_AT: Final = 12
-#: Share of failures that says nothing yet: with a smoothing of a tenth, two in a row.
-TOLERATED: Final = 0.2
-#: Seconds in which a failure loses two thirds of its weight against a host.
-FAILURE_MEMORY: Final = 3.0
-#: Share of the calls that a target gets which has just come.
-_COLD_SHARE: Final = 0.1
+__all__ = ["FAILURE_DECAY_SECONDS", "TOLERATED_FAILURE_SHARE", "Candidate", "Candidates"]
+
+#: Time constant with which a load report decays: after this time it has lost two thirds of its
+#: weight.
+_LOAD_DECAY_SECONDS: Final = 2.0
+#: Hosts that are sampled per call from the own failure domain, and as many from the other domains.
+#: The load of a domain is estimated from the sample, and three hosts of it are compared.  Picking
+#: one of 560 hosts takes 66 us, against 529 us without sampling (13 hosts: 55 us; one run on a
+#: busy machine).
+_SAMPLE_SIZE: Final = 12
+#: Smoothed share of failed calls up to which a host counts as healthy.  With a smoothing factor of
+#: a tenth, two failures in a row stay below it.
+TOLERATED_FAILURE_SHARE: Final = 0.2
+#: Time constant with which a failure decays: after this time it has lost two thirds of its weight.
+FAILURE_DECAY_SECONDS: Final = 3.0
+#: Share of its slots that counts for a target that has just started.
+_COLD_START_SHARE: Final = 0.1
 
 
 @define(eq=False)
 class Candidate:
-    """A host with a target of a service, as seen by this daemon."""
+    """A host with targets of a service, and what this daemon knows about them."""
 
     #: Name of the host.
     host: str
     #: Incarnation of its daemon.
     incarnation: int
-    #: Its targets for the service, each by its name and the time of its start.
+    #: Its targets for the service, each as its name and start time in Unix milliseconds.
     starts: frozenset[tuple[str, int]]
     #: Its failure domain.
     domain: str
-    #: Where its daemon takes calls.
+    #: Address at which its daemon accepts calls.
     address: Address
-    #: Slots of its targets for the service.
+    #: Total slots of its targets for the service.
     slots: int
-    #: What they say of themselves.
+    #: Lowest `TargetState` value among its targets.
     state: int
-    #: When it was first seen.
+    #: When this daemon first saw these targets.
     since: float
-    #: Version of the software of its targets; empty where they do not tell.
+    #: Software version of the target with that state; empty if it does not report one.
     version: str = ""
-    #: Until when its targets are slow after their start.
+    #: Time until which its targets are still slow after their start.
     cold_until: float = 0.0
-    #: Whether the host is suspected to have failed.
+    #: Whether the failure detector suspects the host.
     is_suspect: bool = False
-    #: Mean seconds that a call takes there, as it told last; 0 before.
+    #: Mean duration of a call in seconds, as last reported by the host; 0 before the first report.
     pace: float = 0.0
-    #: Calls from this daemon that are under way.
+    #: Calls from this daemon that are in flight.
     outstanding: int = 0
-    #: Load per slot that it told last, and when.
+    #: Load per slot that the host last reported, and when.
     told_load: float = 0.0
     told_at: float = 0.0
-    #: Failed calls in a row.
+    #: Consecutive failed calls.
     failures: int = 0
-    #: Smoothed share of failed calls.
+    #: Exponentially smoothed share of failed calls.
     failure_share: float = 0.0
-    #: When it failed last.
+    #: Time of the last failure.
     failed_at: float = 0.0
-    #: Until when it gets no calls.
+    #: Time until which it is ejected and gets no calls.
     ejected_until: float = 0.0
-    #: Ejections in a row.
+    #: Consecutive ejections, without a successful call in between.
     ejections: int = 0
 
     def is_same(self, incarnation: int, starts: frozenset[tuple[str, int]]) -> bool:
-        """Whether what was learnt here still tells of these targets.
+        """Return whether the statistics kept here still describe these targets.
 
-        One that starts again may be fast where it was slow, and sound where it failed.
+        They do not apply to a target that has restarted: it may be fast where its predecessor was
+        slow, and healthy where it failed.
         """
         return self.incarnation == incarnation and not self.starts.isdisjoint(starts)
 
     def load(self, now: float) -> float:
-        """Expected load per slot."""
-        told = self.told_load * math.exp(-(now - self.told_at) / _LOAD_MEMORY)
-        return max(told, self.outstanding / max(1, self.slots))
+        """Return the estimated load per slot."""
+        reported = self.told_load * math.exp(-(now - self.told_at) / _LOAD_DECAY_SECONDS)
+        return max(reported, self.outstanding / max(1, self.slots))
 
-    def failing(self, now: float) -> float:
-        """Share of its calls that it refuses or fails, as far as that is not long ago."""
+    def recent_failure_share(self, now: float) -> float:
+        """Return the share of calls that it refuses or fails, decayed since the last failure."""
         if not self.failure_share:
             return 0.0
-        return self.failure_share * math.exp(-(now - self.failed_at) / FAILURE_MEMORY)
+        return self.failure_share * math.exp(-(now - self.failed_at) / FAILURE_DECAY_SECONDS)
 
-    def is_sound(self, now: float, memory: float) -> bool:
-        """Whether it fails few of its calls; two thirds are forgotten in `memory` seconds."""
-        if self.failure_share <= TOLERATED:
+    def is_healthy(self, now: float, decay_seconds: float) -> bool:
+        """Return whether few of its calls fail, with failures decayed by `decay_seconds`."""
+        if self.failure_share <= TOLERATED_FAILURE_SHARE:
             return True
-        return self.failure_share * math.exp(-(now - self.failed_at) / memory) <= TOLERATED
+        return (
+            self.failure_share * math.exp(-(now - self.failed_at) / decay_seconds)
+            <= TOLERATED_FAILURE_SHARE
+        )
 
-    def warmth(self, now: float, warm_up: float) -> float:
-        """Share of its slots that counts, growing while it warms up."""
-        share = _COLD_SHARE if self.state == TargetState.STARTING else 1.0
+    def warm_up_factor(self, now: float, warm_up: float) -> float:
+        """Return the share of its slots that counts, which grows during the warm-up."""
+        share = _COLD_START_SHARE if self.state == TargetState.STARTING else 1.0
         age = now - self.since
         if age < warm_up:
-            share = min(share, _COLD_SHARE + (1 - _COLD_SHARE) * age / warm_up)
+            share = min(share, _COLD_START_SHARE + (1 - _COLD_START_SHARE) * age / warm_up)
         return share
 
 
 class Candidates:
-    """The hosts with targets of one service, those of the own failure domain apart.
+    """The hosts with targets of one service, split into the own failure domain and the others.
 
-    One call looks at some of them, drawn anew each time: all of the few in a small mesh, and a
-    fixed number on each side in a large one, so that a choice costs the same at any size.
+    Each call considers a fresh random sample: all hosts in a small mesh, and a fixed number from
+    either part in a large one, so that the cost of picking a host does not grow with the mesh.
     """
 
     def __init__(self, own_domain: str) -> None:
         self._own_domain = own_domain
         self._hosts: dict[str, Candidate] = {}
-        self._near: list[Candidate] = []
-        self._far: list[Candidate] = []
-        self._usual_version = ""
+        self._in_domain: list[Candidate] = []
+        self._out_of_domain: list[Candidate] = []
+        self._majority_version = ""
 
     @property
     def all(self) -> Collection[Candidate]:
-        """All of them."""
+        """All candidate hosts."""
         return self._hosts.values()
 
     def find(self, host: str) -> Candidate | None:
-        """What is known of a host, `None` where it has no such target."""
+        """Return the candidate of a host, or `None` if the host has no target of the service."""
         return self._hosts.get(host)
 
     def add(self, candidate: Candidate) -> None:
-        """Take a host, in the place of what was known of it."""
+        """Add a host, replacing an earlier candidate of the same host."""
         self._hosts[candidate.host] = candidate
-        self._sort()
+        self._reindex()
 
     def drop(self, host: str) -> None:
-        """Forget a host."""
+        """Remove a host."""
         if self._hosts.pop(host, None) is not None:
-            self._sort()
+            self._reindex()
 
     def slots_by_version(self) -> Counter[str]:
-        """How many slots each version has."""
+        """Return the number of slots of each version."""
         slots: Counter[str] = Counter()
         for candidate in self._hosts.values():
             slots[candidate.version] += candidate.slots
         return slots
 
     def hosts_by_version(self) -> Counter[str]:
-        """How many hosts run each version."""
+        """Return the number of hosts that run each version."""
         return Counter(candidate.version for candidate in self._hosts.values())
 
     @property
-    def usual_version(self) -> str:
-        """The version that most hosts run, empty where all run the same."""
-        return self._usual_version
+    def majority_version(self) -> str:
+        """The version that most hosts run; empty if all hosts run the same version."""
+        return self._majority_version
 
-    def _sort(self) -> None:
+    def _reindex(self) -> None:
         versions = self.hosts_by_version()
-        self._usual_version = ""
+        self._majority_version = ""
         if len(versions) > 1:
-            self._usual_version = min(versions, key=lambda each: (-versions[each], each))
-        self._near = [c for c in self._hosts.values() if c.domain == self._own_domain]
-        self._far = [c for c in self._hosts.values() if c.domain != self._own_domain]
+            self._majority_version = min(versions, key=lambda each: (-versions[each], each))
+        self._in_domain = [c for c in self._hosts.values() if c.domain == self._own_domain]
+        self._out_of_domain = [c for c in self._hosts.values() if c.domain != self._own_domain]
 
     def some(self, seed: random.Random) -> Collection[Candidate]:
-        """Those that one call looks at."""
-        if len(self._hosts) <= 2 * _LOOKED_AT:
+        """Return the candidates to consider for one call."""
+        if len(self._hosts) <= 2 * _SAMPLE_SIZE:
             return self._hosts.values()
         near, far = (
-            side if len(side) <= _LOOKED_AT else seed.sample(side, _LOOKED_AT)
-            for side in (self._near, self._far)
+            side if len(side) <= _SAMPLE_SIZE else seed.sample(side, _SAMPLE_SIZE)
+            for side in (self._in_domain, self._out_of_domain)
         )
         return [*near, *far]
--- a/packages/routing/src/acaciayard_routing/_key_holders.py
+++ b/packages/routing/src/acaciayard_routing/_key_holders.py
@@ -1,4 +1,4 @@
-"""Finds the workspace that holds a key."""
+"""Maps API keys to the workspaces that hold them."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class KeyHolders:
-    """The workspaces of one configuration by the digests of their keys.
+    """Index of the workspaces of one configuration by the digests of their API keys.
 
     Example:
         holder = KeyHolders(configuration.all_of(Workspace)).holder_of(b"3nr26tta828m")
@@ -25,16 +25,16 @@
 
     @property
     def is_empty(self) -> bool:
-        """Whether there are no workspaces, so that nobody is asked for a key."""
+        """Whether no workspaces are configured, in which case calls need no key."""
         return not self._workspaces
 
     def holder_of(self, key: bytes) -> Workspace | None:
-        """The workspace that holds a key, `None` where nobody does.
+        """Return the workspace that holds a key, or `None` if no workspace does.
 
-        Looked up by digest: how long that takes tells nothing of keys that are nearly right.
+        The lookup is by digest, so its duration reveals nothing about similar keys.
         """
         return self._holders.get(digest_of_key(key))
 
 
-#: Where there are no workspaces.
+#: The index for a configuration without workspaces.
 NO_KEY_HOLDERS: Final = KeyHolders(())
--- a/packages/routing/src/acaciayard_routing/_offers.py
+++ b/packages/routing/src/acaciayard_routing/_offers.py
@@ -1,4 +1,4 @@
-"""Which hosts a call is offered to, one after the other, and whether it may wait there."""
+"""The sequence of hosts that a call is offered to, and whether it may wait in their queues."""
 
 from __future__ import annotations
 
@@ -14,37 +14,37 @@
 
 __all__ = ["MOST_OFFERS", "Offer", "Offers"]
 
-#: Hosts that a call is offered to in all when they refuse it.
+#: Maximum number of hosts that a call is offered to when each of them refuses it.
 MOST_OFFERS: Final = 4
-#: Offers that are taken only with a slot free.  What a daemon knows of another's load is some
-#: milliseconds old, and a refusal costs 0.2 to 3 ms where a wait costs tens.  A host that has said
-#: lately that it has none is not asked so: where targets lack slots, calls make a quarter to a
-#: third fewer offers and earn the same (0.002 less over eight modelled loads, within the spread of
-#: their seeds).
-_EAGER_OFFERS: Final = 2
+#: First offers of a call that are accepted only if a slot is free.  Load reports are some
+#: milliseconds old, and a refusal costs 0.2 to 3 ms where waiting costs tens of milliseconds.  A
+#: host that has recently reported no free slot gets no such offer: if targets are short of slots,
+#: calls then make a quarter to a third fewer offers for the same result (0.002 less earned over
+#: eight modelled loads, within the spread of their seeds).
+_NO_WAIT_OFFERS: Final = 2
 
 
 @frozen
 class Offer:
-    """A host that a call is offered to."""
+    """An offer of a call to a host."""
 
-    #: The host.
+    #: The host that the call is offered to.
     candidate: Candidate
-    #: Whether the call may wait there; otherwise it is taken only with a slot free.
+    #: Whether the call may wait for a slot; otherwise the host accepts it only if a slot is free.
     may_wait: bool
 
 
 class Offers:
     """The offers of one call.
 
-    First some hosts are asked for a free slot, unless the best of them is known to have none.  Each
-    that has none tells its load, so that the call then waits where the wait is shortest, be it at
-    one of those.  A call that `is_late`
-    already waits nowhere, so that it is offered no further.
+    The first offers ask for a free slot, unless the best candidate is known to have none.  A host
+    without a free slot reports its load when it refuses, so that a later offer lets the call wait
+    where the expected wait is shortest, which may be at a host that has refused before.  A call
+    that `is_late` has no time left to wait, so it gets only the offers for a free slot.
 
     Example:
         while (offer := offers.next()) is not None:
-            ...  # offer it
+            ...  # send the offer
             offers.note_refused(offer, refusal)
     """
 
@@ -57,34 +57,34 @@
         is_late: bool = False,
         prefers_fastest: bool = False,
     ) -> None:
-        self._most = _EAGER_OFFERS if is_late else MOST_OFFERS
+        self._max_offers = _NO_WAIT_OFFERS if is_late else MOST_OFFERS
         self._prefers_fastest = prefers_fastest
         self._picker = picker
         self._plan = plan
         self._router = router
-        self._out: set[str] = set()
-        self._full: set[str] = set()
-        self._made = 0
+        self._excluded: set[str] = set()
+        self._full_hosts: set[str] = set()
+        self._refusals = 0
 
     @property
     def tried(self) -> set[str]:
-        """Hosts that a further try must not go to."""
-        return self._out | self._full
+        """Hosts that a further attempt must not go to."""
+        return self._excluded | self._full_hosts
 
     @property
     def failed(self) -> set[str]:
-        """Hosts at which a try has failed or that have refused for another reason than load."""
-        return self._out
+        """Hosts at which an attempt failed, or that refused for another reason than load."""
+        return self._excluded
 
     def next(self) -> Offer | None:
-        """The next one, `None` where there is none."""
-        if self._made >= self._most:
+        """Return the next offer, or `None` if there is none."""
+        if self._refusals >= self._max_offers:
             return None
-        if self._made < _EAGER_OFFERS:
-            candidate = self._pick(self._out | self._full)
+        if self._refusals < _NO_WAIT_OFFERS:
+            candidate = self._pick(self._excluded | self._full_hosts)
             if candidate is not None:
                 return Offer(candidate, may_wait=self._picker.is_full(candidate))
-        candidate = self._pick(self._out)
+        candidate = self._pick(self._excluded)
         return None if candidate is None else Offer(candidate, may_wait=True)
 
     def _pick(self, avoid: set[str]) -> Candidate | None:
@@ -93,11 +93,11 @@
         )
 
     def note_refused(self, offer: Offer, refusal: NotRun) -> None:
-        """The host has refused the call."""
-        self._made += 1
-        was_full = refusal.is_overload and not refusal.is_by_target and not offer.may_wait
-        (self._full if was_full else self._out).add(offer.candidate.host)
+        """Record that the host has refused the call."""
+        self._refusals += 1
+        has_no_free_slot = refusal.is_overload and not refusal.is_by_target and not offer.may_wait
+        (self._full_hosts if has_no_free_slot else self._excluded).add(offer.candidate.host)
 
     def leave_out(self, host: str) -> None:
-        """A try at the host has failed; the next one goes elsewhere."""
-        self._out.add(host)
+        """Exclude a host at which an attempt has failed from further offers."""
+        self._excluded.add(host)
--- a/packages/routing/src/acaciayard_routing/_picker.py
+++ b/packages/routing/src/acaciayard_routing/_picker.py
@@ -1,4 +1,4 @@
-"""Picks the host that a call goes to."""
+"""Picks the host that a call is sent to."""
 
 from __future__ import annotations
 
@@ -13,42 +13,46 @@
 from acaciayard_rollouts import ANY_VERSION, NO_ROLLOUTS, RolloutBook, Side, Versions
 from acaciayard_timers import TimerService
 
-from ._candidates import FAILURE_MEMORY, TOLERATED, Candidate, Candidates
+from ._candidates import FAILURE_DECAY_SECONDS, TOLERATED_FAILURE_SHARE, Candidate, Candidates
 from ._router import Plan, Router
 
 __all__ = ["Picker", "trial_rank"]
 
-#: Failed calls in a row that eject a host.
+#: Consecutive failed calls after which a host is ejected.
 _FAILURES_TO_EJECT: Final = 5
-#: Share of failed calls, smoothed, that ejects a host even when some succeed.
+#: Smoothed share of failed calls above which a host is ejected even if some calls succeed.
 _FAILURE_SHARE_TO_EJECT: Final = 0.6
 _FAILURE_SMOOTHING: Final = 0.1
-#: Seconds of a first ejection, and the longest one.
-_EJECTION: Final = (1.0, 30.0)
-#: Share of hosts that must be left for ejections to be heeded at all.
-_PANIC_SHARE: Final = 0.5
-#: The member of an enumeration is looked up at each use; a choice compares each host with it.
+#: Seconds of the first ejection, and of the longest one.
+_EJECTION_SECONDS: Final = (1.0, 30.0)
+#: Share of the hosts that must remain usable; below it, ejections and suspicions are ignored.
+_MIN_USABLE_SHARE: Final = 0.5
+#: The value as a plain integer: it is compared with every candidate, and looking up a member of an
+#: enumeration each time is slower.
 _DRAINING: Final = int(TargetState.DRAINING)
-#: Hosts that are compared for one call.
-_CHOICES: Final = 3
-#: Load per slot from which a wait is to be expected, and how much more load beyond it counts.
-_FREE_SHARE: Final = 0.7
-_CROWD_WEIGHT: Final = 3.0
-#: Load per slot from which targets have no room.
-_FULL: Final = 1.0
-#: Share of good answers below which a worse one makes no further difference.
-_LEAST_GOOD: Final = 0.1
-#: The same for calls that must not run twice: others try first whether a target has recovered.
-_LONG_FAILURE_MEMORY: Final = 10.0
+#: Randomly chosen hosts whose scores are compared for one call.
+_COMPARED_HOSTS: Final = 3
+#: Load per slot above which calls are expected to queue, and the extra weight of the load above it.
+_QUEUEING_LOAD: Final = 0.7
+_QUEUEING_WEIGHT: Final = 3.0
+#: Load per slot at which targets have no free slot.
+_FULL_LOAD: Final = 1.0
+#: Share of successful calls below which a further decrease no longer worsens a score.
+_MIN_SUCCESS_SHARE: Final = 0.1
+#: Time constant with which failures decay for calls that must not run twice.  It is longer than for
+#: idempotent calls, so that those find out first whether a target has recovered.
+_NON_IDEMPOTENT_FAILURE_DECAY_SECONDS: Final = 10.0
 
 
 class Picker:
-    """Least expected time of a few, in the own failure domain first.
+    """Picks the host with the least expected call duration among a few random candidates.
 
-    Outcomes of calls weigh more than what targets say: a host that fails calls is ejected for a
-    while, for longer each time, unless that would leave too few.  When the own domain is loaded
-    beyond the share set by its policy, just so large a part of the calls goes elsewhere as brings
-    it back to that share; so the spill-over does not swing.
+    Hosts in the own failure domain are preferred.  When the load of that domain exceeds the share
+    set by its policy, just enough calls go to other domains to bring it back to that share, so
+    that the spill-over does not oscillate.
+
+    The outcomes of calls outweigh what targets report: a host that fails calls is ejected, for
+    longer each time, unless that would leave too few hosts.
     """
 
     def __init__(
@@ -65,14 +69,14 @@
         self._seed = seed
         self._services: dict[str, Candidates] = {}
         self._started = timers.now()
-        table.subscribe(lambda _before, now: self._on_member(now))
+        table.subscribe(lambda _before, now: self._on_member_change(now))
         for member in table.present():
-            self._on_member(member)
+            self._on_member_change(member)
 
-    # --- who is there -------------------------------------------------------------------------
+    # --- membership ---------------------------------------------------------------------------
 
-    def _on_member(self, member: Member) -> None:
-        offered = _offered_by(member)
+    def _on_member_change(self, member: Member) -> None:
+        offered = _targets_by_service(member)
         own_domain = self._table.own.domain
         for service in {*self._services, *offered}:
             candidates = self._services.setdefault(service, Candidates(own_domain))
@@ -91,7 +95,7 @@
         state, version = newest.state, newest.version
         if known is None or not known.is_same(member.incarnation, starts):
             now = self._timers.now()
-            first_sight = now - self._started < 1.0
+            known_at_start = now - self._started < 1.0
             candidates.add(
                 Candidate(
                     host=member.host,
@@ -101,7 +105,7 @@
                     address=member.calls,
                     slots=slots,
                     state=state,
-                    since=float("-inf") if first_sight else now,
+                    since=float("-inf") if known_at_start else now,
                     version=version,
                     cold_until=now + max(target.cold_s for target in targets),
                 )
@@ -118,21 +122,21 @@
         known.is_suspect = member.state == MemberState.SUSPECT
 
     def candidate(self, service: str, host: str) -> Candidate | None:
-        """What is known here of a host's targets for a service, `None` where it has none."""
+        """Return the candidate of a host for a service, or `None` if it has no such targets."""
         candidates = self._services.get(service)
         return candidates.find(host) if candidates is not None else None
 
     def slots_by_version(self, service: str) -> Counter[str]:
-        """How many slots each version of a service has."""
+        """Return the number of slots of each version of a service."""
         candidates = self._services.get(service)
         return candidates.slots_by_version() if candidates is not None else Counter()
 
     def hosts_by_version(self, service: str) -> Counter[str]:
-        """How many hosts run each version of a service."""
+        """Return the number of hosts that run each version of a service."""
         candidates = self._services.get(service)
         return candidates.hosts_by_version() if candidates is not None else Counter()
 
-    # --- choice -------------------------------------------------------------------------------
+    # --- selection ----------------------------------------------------------------------------
 
     def pick(
         self,
@@ -142,39 +146,40 @@
         avoid: Collection[str],
         prefers_fastest: bool = False,
     ) -> Candidate | None:
-        """The host for a call, `None` when there is none.
+        """Return the host for a call, or `None` if there is none.
 
-        With `prefers_fastest` the failure domain of a host counts for nothing.  Where the service
-        moves to another version, the rollout says to which of the two the call goes.
+        With `prefers_fastest` failure domains are ignored.  During a rollout of the service, the
+        rollout decides which of the two versions the call goes to.
         """
         candidates = self._services.get(plan.service.name)
         if candidates is None:
             return None
         now = self._timers.now()
         versions = self._versions_of(candidates, plan.service.name)
-        usable = self._usable_of(candidates, plan, router, now, avoid, versions)
+        usable = self._usable_sample(candidates, plan, router, now, avoid, versions)
         if not usable and versions.side is Side.NEW:
             versions = self._rollouts.base_versions(plan.service.name)
-            usable = self._usable_of(candidates, plan, router, now, avoid, versions)
+            usable = self._usable_sample(candidates, plan, router, now, avoid, versions)
         if not usable:
             return None
-        sound = self._sound(usable, now, may_repeat=plan.route.idempotent)
-        pool = sound if prefers_fastest else self._pool(sound, router, now)
-        return self._best_of_some(pool, now, plan.service.warm_up_s)
+        healthy = self._healthy(usable, now, may_repeat=plan.route.idempotent)
+        pool = healthy if prefers_fastest else self._pool(healthy, router, now)
+        return self._best_of_sample(pool, now, plan.service.warm_up_s)
 
     def _versions_of(self, candidates: Candidates, service: str) -> Versions:
-        """The versions that the next call may go to.
+        """Return the versions that the next call may go to.
 
-        Where operators move services by orders, a version without one gets nothing while another
-        runs on more hosts: its targets may have been started before the order was heard of here.
+        If operators order rollouts and there is none for the service, only the version that runs
+        on the most hosts gets calls: targets of another version may have started before this
+        daemon learnt of the order.
         """
         versions = self._rollouts.versions(service)
-        is_unordered = versions is ANY_VERSION and self._rollouts.knows_orders
-        if is_unordered and candidates.usual_version:
-            return Versions(only=candidates.usual_version)
+        has_no_order = versions is ANY_VERSION and self._rollouts.knows_orders
+        if has_no_order and candidates.majority_version:
+            return Versions(only=candidates.majority_version)
         return versions
 
-    def _usable_of(
+    def _usable_sample(
         self,
         candidates: Candidates,
         plan: Plan,
@@ -183,7 +188,7 @@
         avoid: Collection[str],
         versions: Versions,
     ) -> list[Candidate]:
-        """Some that a call may go to, or all of them where those looked at first are none."""
+        """Return usable candidates from a sample, or from all candidates if the sample has none."""
         for some in (candidates.some(self._seed), candidates.all):
             if versions is not ANY_VERSION:
                 some = [c for c in some if versions.admits(c.version)]
@@ -200,73 +205,76 @@
         now: float,
         avoid: Collection[str],
     ) -> list[Candidate]:
-        """Those of some candidates that a call may go to."""
+        """Return the given candidates that a call may go to."""
         service = plan.service.name
         drained = router.drained(service)
         present = [c for c in some if c.state < _DRAINING and c.host not in drained]
         usable = [c for c in present if c.ejected_until <= now and not c.is_suspect]
-        if len(usable) < len(present) * _PANIC_SHARE:
+        if len(usable) < len(present) * _MIN_USABLE_SHARE:
             usable = present
         return [c for c in usable if c.host not in avoid]
 
-    def _sound(
+    def _healthy(
         self, usable: Sequence[Candidate], now: float, *, may_repeat: bool
     ) -> Sequence[Candidate]:
-        """The candidates that fail few of their calls, while those have room; else all.
+        """Return the healthy candidates while they have free slots, otherwise all candidates.
 
-        What fails a call that must not run twice costs all of it, and of the others only so many
-        can be repeated as the budget allows.  Where six targets of ten lose two answers in five,
-        lost calls fell from 18 to 10 in 100 with a load of three quarters (`test_overload`).
+        A failed call that must not run twice is lost, and other calls are retried only as far as
+        the budget allows.  If six targets of ten lose two answers in five, this reduces lost calls
+        from 18 to 10 in 100 at a load of three quarters (`test_overload`).
         """
-        memory = FAILURE_MEMORY if may_repeat else _LONG_FAILURE_MEMORY
-        sound = [c for c in usable if c.is_sound(now, memory)]
-        if not sound or len(sound) == len(usable):
+        decay_seconds = (
+            FAILURE_DECAY_SECONDS if may_repeat else _NON_IDEMPOTENT_FAILURE_DECAY_SECONDS
+        )
+        healthy = [c for c in usable if c.is_healthy(now, decay_seconds)]
+        if not healthy or len(healthy) == len(usable):
             return usable
-        load = _mean_load(sound, now)
-        return sound if self._seed.random() * load < _FULL else usable
+        load = _mean_load(healthy, now)
+        return healthy if self._seed.random() * load < _FULL_LOAD else usable
 
     def _pool(self, usable: Sequence[Candidate], router: Router, now: float) -> Sequence[Candidate]:
-        """The candidates of the own failure domain, or all where its load spills over.
+        """Return the candidates of the own failure domain, or all if its load spills over.
 
-        Of all, since a slow host outside may take longer than a loaded one inside: calls of a goal
-        of 150 ms that were late fell from 35 to 24 in 1,000 where every third target is slow.
+        A call that spills over picks among all candidates, since a slow host in another domain may
+        take longer than a loaded one in the own domain.  If every third target is slow, this
+        reduces calls that miss a goal of 150 ms from 35 to 24 in 1,000.
         """
         own_domain = self._table.own.domain
-        inside = [c for c in usable if c.domain == own_domain]
-        limit = router.domain_policy(own_domain).spill_percent / 100
-        load = _mean_load(inside, now)
-        if inside and load <= limit:
-            return inside
-        outside = [
+        in_domain = [c for c in usable if c.domain == own_domain]
+        threshold = router.domain_policy(own_domain).spill_percent / 100
+        load = _mean_load(in_domain, now)
+        if in_domain and load <= threshold:
+            return in_domain
+        out_of_domain = [
             c
             for c in usable
             if c.domain != own_domain and router.domain_policy(c.domain).accepts_spill
         ]
-        if not inside or not outside:
-            return inside or outside or usable
-        if _mean_load(outside, now) >= load:
-            return inside
-        spilled = 1 - limit / load
-        return [*inside, *outside] if self._seed.random() < spilled else inside
-
-    def _best_of_some(self, pool: Sequence[Candidate], now: float, warm_up: float) -> Candidate:
+        if not in_domain or not out_of_domain:
+            return in_domain or out_of_domain or usable
+        if _mean_load(out_of_domain, now) >= load:
+            return in_domain
+        spilled = 1 - threshold / load
+        return [*in_domain, *out_of_domain] if self._seed.random() < spilled else in_domain
+
+    def _best_of_sample(self, pool: Sequence[Candidate], now: float, warm_up: float) -> Candidate:
         if len(pool) == 1:
             return pool[0]
-        some = self._seed.sample(pool, min(_CHOICES, len(pool)))
-        usual = _usual_pace(pool)
-        return min(some, key=lambda c: _score(c, now, warm_up, usual))
+        sample = self._seed.sample(pool, min(_COMPARED_HOSTS, len(pool)))
+        mean_pace = _mean_pace(pool)
+        return min(sample, key=lambda c: _score(c, now, warm_up, mean_pace))
 
     def is_full(self, candidate: Candidate) -> bool:
-        """Whether a host has no slot free, as far as it has told lately."""
-        return candidate.load(self._timers.now()) >= _FULL
+        """Return whether a host has no free slot, by its recent load."""
+        return candidate.load(self._timers.now()) >= _FULL_LOAD
 
     def pick_for_trial(
         self, plan: Plan, router: Router, *, key: bytes, avoid: Collection[str]
     ) -> Candidate | None:
-        """The host on which a suspect has its trial, `None` when there is none.
+        """Return the host for the trial run of a suspect request, or `None` if there is none.
 
-        All daemons that know the same hosts choose the same one for a key, whatever each has learnt
-        of them, so that copies of a suspect meet at one gate.
+        Uses rendezvous hashing: all daemons that know the same hosts pick the same one for a key,
+        whatever statistics they keep, so that all copies of a suspect reach the same gate.
         """
         candidates = self._services.get(plan.service.name)
         if candidates is None:
@@ -286,12 +294,12 @@
     # --- outcomes -----------------------------------------------------------------------------
 
     def begin(self, candidate: Candidate) -> None:
-        """A call to the host starts."""
+        """Record that a call to the host starts."""
         candidate.outstanding += 1
 
     def note_silent(self, candidate: Candidate) -> None:
-        """A host gives no sign of life; calls go elsewhere until it is clear why."""
-        self._failed(candidate, self._timers.now(), weight=_FAILURES_TO_EJECT)
+        """Eject a host that does not respond, until its state is known."""
+        self._record_failure(candidate, self._timers.now(), weight=_FAILURES_TO_EJECT)
 
     def end(
         self,
@@ -300,10 +308,10 @@
         load: float,
         pace: float = 0.0,
     ) -> None:
-        """A call to the host has ended.
+        """Record that a call to the host has ended.
 
-        `load` and `pace` are what it told: calls per slot, negative for nothing, and the mean
-        seconds that a call takes there, 0 for nothing.
+        `load` and `pace` are what the host reported: calls per slot, negative if unknown, and the
+        mean duration of a call in seconds, 0 if unknown.
         """
         candidate.outstanding -= 1
         now = self._timers.now()
@@ -314,49 +322,51 @@
             candidate.pace = pace
         match outcome:
             case NotRun(is_by_target=True):
-                # It may refuse calls of one kind alone, such as long uploads: no cause to eject it.
-                self._note_share(candidate, now)
+                # The target may refuse only one kind of call, such as long uploads: no reason to
+                # eject the host.
+                self._record_failure_share(candidate, now)
             case NotRun(is_overload=True) | NotRun(is_barred=True) | Answer(lacks_inner=True):
                 return
             case NotRun() | OutcomeUnknown(is_silent=True):
-                self._failed(candidate, now, weight=_FAILURES_TO_EJECT)
+                self._record_failure(candidate, now, weight=_FAILURES_TO_EJECT)
             case Answer(status=status) if status < 500:
                 candidate.failures = 0
                 candidate.ejections = 0
                 candidate.failure_share *= 1 - _FAILURE_SMOOTHING
             case _:
-                self._failed(candidate, now, weight=1)
+                self._record_failure(candidate, now, weight=1)
 
     @staticmethod
-    def _note_share(candidate: Candidate, now: float) -> None:
+    def _record_failure_share(candidate: Candidate, now: float) -> None:
         share = candidate.failure_share
         candidate.failure_share = share + _FAILURE_SMOOTHING * (1 - share)
         candidate.failed_at = now
 
-    def _failed(self, candidate: Candidate, now: float, *, weight: int) -> None:
+    def _record_failure(self, candidate: Candidate, now: float, *, weight: int) -> None:
         candidate.failures += weight
-        self._note_share(candidate, now)
+        self._record_failure_share(candidate, now)
         if candidate.ejected_until > now:
             return
         if (
             candidate.failures >= _FAILURES_TO_EJECT
             or candidate.failure_share > _FAILURE_SHARE_TO_EJECT
         ):
-            first, longest = _EJECTION
+            first, longest = _EJECTION_SECONDS
             seconds = min(longest, first * 2**candidate.ejections)
             candidate.ejected_until = now + seconds * self._seed.uniform(0.8, 1.2)
             candidate.ejections += 1
             candidate.failures = _FAILURES_TO_EJECT - 1
-            candidate.failure_share = TOLERATED  # it gets calls again after its ejection
+            # The host counts as healthy again after its ejection.
+            candidate.failure_share = TOLERATED_FAILURE_SHARE
 
 
 def trial_rank(host: str, key: bytes) -> bytes:
-    """The place of a host in the order of those that a key's trials go to, the first one least."""
+    """Return the rendezvous hash of a host for a key; the lowest one gets the trials of the key."""
     return hashlib.blake2b(host.encode(), key=key, digest_size=8).digest()
 
 
-def _offered_by(member: Member) -> dict[str, list[TargetInfo]]:
-    """The targets of a host by their service; none where the host is gone."""
+def _targets_by_service(member: Member) -> dict[str, list[TargetInfo]]:
+    """Return the targets of a host by service; empty if the host is gone."""
     offered: dict[str, list[TargetInfo]] = {}
     for target in member.targets if member.is_present else ():
         offered.setdefault(target.service, []).append(target)
@@ -372,23 +382,27 @@
     return busy / max(1, slots)
 
 
-def _usual_pace(pool: Sequence[Candidate]) -> float:
-    """The mean pace of those that have told theirs, 1 where none has."""
-    told = [c.pace for c in pool if c.pace > 0]
-    return sum(told) / len(told) if told else 1.0
+def _mean_pace(pool: Sequence[Candidate]) -> float:
+    """Return the mean pace of the candidates that have reported one, or 1 if none has."""
+    reported = [c.pace for c in pool if c.pace > 0]
+    return sum(reported) / len(reported) if reported else 1.0
 
 
-def _score(candidate: Candidate, now: float, warm_up: float, usual: float) -> float:
-    """Expected time of one more call: its pace, times one and the wait for a slot.
+def _score(candidate: Candidate, now: float, warm_up: float, mean_pace: float) -> float:
+    """Return the expected duration of one more call, including the wait for a slot.
 
-    A wait is to be expected from `_FREE_SHARE` of the slots on, since calls come unevenly and what
-    a host told of its load is some milliseconds old.  A target that fails a part of its calls costs
-    a second try for each of them, though it looks free and fast; what it failed is forgotten, so
-    that it is tried again.
+    Calls are expected to queue from `_QUEUEING_LOAD` on, since they arrive unevenly and load
+    reports are some milliseconds old.  Each call that a target fails costs a second attempt, even
+    if the target looks idle and fast.  Failures decay with time, so that the target gets calls
+    again.
     """
-    counted = max(0.1, candidate.slots * candidate.warmth(now, warm_up))
-    load = (candidate.load(now) * candidate.slots + 1) / counted
-    crowd = load + max(0.0, load - _FREE_SHARE) * _CROWD_WEIGHT
-    failed = candidate.failing(now)
-    good = max(_LEAST_GOOD, 1 - failed) if failed > TOLERATED else 1.0
-    return (candidate.pace or usual) * (1 + crowd) / good
+    effective_slots = max(0.1, candidate.slots * candidate.warm_up_factor(now, warm_up))
+    load = (candidate.load(now) * candidate.slots + 1) / effective_slots
+    effective_load = load + max(0.0, load - _QUEUEING_LOAD) * _QUEUEING_WEIGHT
+    failure_share = candidate.recent_failure_share(now)
+    success_share = (
+        max(_MIN_SUCCESS_SHARE, 1 - failure_share)
+        if failure_share > TOLERATED_FAILURE_SHARE
+        else 1.0
+    )
+    return (candidate.pace or mean_pace) * (1 + effective_load) / success_share
--- a/packages/routing/src/acaciayard_routing/_router.py
+++ b/packages/routing/src/acaciayard_routing/_router.py
@@ -1,4 +1,4 @@
-"""Matches calls to the routes of the configuration in force."""
+"""Matches calls to the routes of the active configuration."""
 
 from __future__ import annotations
 
@@ -28,10 +28,10 @@
 
 __all__ = ["Plan", "Router"]
 
-_K = TypeVar("_K")
+_Key = TypeVar("_Key")
 
-#: Routes that are planned in one go; some 0.3 ms.
-_AT_ONCE: Final = 64
+#: Routes that are processed before the event loop gets a turn; about 0.3 ms.
+_ROUTES_PER_SLICE: Final = 64
 _NO_RETRY: Final = RetryPolicy(name="none", attempts=1, budget_percent=0.0)
 _DEFAULT_DOMAIN: Final = DomainPolicy(name="default")
 _DEFAULT_TIMEOUT: Final = TimeoutPolicy(name="default")
@@ -39,106 +39,110 @@
 
 @frozen
 class Plan:
-    """Everything that one configuration says about a call; fixed for the life of the call."""
+    """The settings that apply to a call; they stay the same for its whole life."""
 
     #: The route that matched.
     route: Route
-    #: The service that is to answer, one of several where the route is split.
+    #: The service that answers the call, one of several if the route splits its calls.
     service: Service
-    #: How it is retried.
+    #: The retry policy.
     retry: RetryPolicy
-    #: How long it may take.
+    #: The timeout policy.
     timeout: TimeoutPolicy
-    #: Priority class as an index of `PRIORITIES`.
+    #: Priority class, as an index into `PRIORITIES`.
     priority: int
-    #: Seconds within which an answer is worth its full value, 0 for no goal.
+    #: Seconds within which an answer has its full value; 0 if the route has no latency goal.
     latency_goal: float
 
 
-class _Matched:
-    """A route with the plan of each of its services, which get calls in turn by weight.
+class _RouteEntry:
+    """A route with the plans of its services, which get calls in proportion to their weights.
 
-    Smooth weighted round robin: each service earns its weight with every call, and the richest one
-    gets the call and pays the sum of all weights.  After `n` calls no service is off its share by
-    more than one call, which choice at random reaches only after thousands.  Many daemons start
-    at the same moment, so each begins at a place of its own.
+    Uses smooth weighted round robin: with every call each service gains its weight as credit, and
+    the service with the most credit gets the call and loses the sum of all weights.  After any
+    number of calls no service is off its share by more than one call, which a random choice
+    reaches only after thousands.  The initial credits are random, since many daemons start at the
+    same moment.
     """
 
     def __init__(self, source: Route, plans: tuple[Plan, ...]) -> None:
-        #: The route as the configuration holds it.
+        #: The route as it stands in the configuration.
         self.source = source
-        #: The route without the shares that get nothing.
-        self.route = route = _without_idle_shares(source)
+        #: The route without the services whose weight is zero.
+        self.route = route = _without_zero_weights(source)
         self.plans = plans
         self._weights = tuple(weight for _, weight in route.split)
         total = sum(self._weights)
         self._credits = [random.uniform(0, total) for _ in self._weights]
 
     def next_plan(self) -> Plan:
-        """The plan for the next call."""
+        """Return the plan for the next call."""
         if len(self.plans) == 1:
             return self.plans[0]
         credits = self._credits
         for index, weight in enumerate(self._weights):
             credits[index] += weight
-        richest = max(range(len(credits)), key=credits.__getitem__)
-        credits[richest] -= sum(self._weights)
-        return self.plans[richest]
+        selected = max(range(len(credits)), key=credits.__getitem__)
+        credits[selected] -= sum(self._weights)
+        return self.plans[selected]
 
 
-#: Host, path and method of calls, with an empty method for any.
-_Match = tuple[str, str, str]
+#: Host, path and method of calls; an empty method stands for any method.
+_MatchKey = tuple[str, str, str]
 
 
-class _Superseded:
-    """The matches of a router whose table a later router has taken over and changed."""
+class _SupersededTable:
+    """The table of a router whose dict a later router has taken over and changed.
 
-    def __init__(self, undone: dict[_Match, _Matched | None], later: Router) -> None:
-        self._undone = undone
-        self._later = later
+    Holds the replaced entries and looks up all others in the table of the successor.
+    """
+
+    def __init__(self, replaced: dict[_MatchKey, _RouteEntry | None], successor: Router) -> None:
+        self._replaced = replaced
+        self._successor = successor
 
-    def get(self, match: _Match) -> _Matched | None:
-        """What matched when the table was this router's."""
-        table: _Superseded | dict[_Match, _Matched] = self
-        while isinstance(table, _Superseded):
-            if match in table._undone:
-                return table._undone[match]
-            table = table._later._matched
-        return table.get(match)
+    def get(self, key: _MatchKey) -> _RouteEntry | None:
+        """Return the entry that the table held before the successor took it over."""
+        table: _SupersededTable | dict[_MatchKey, _RouteEntry] = self
+        while isinstance(table, _SupersededTable):
+            if key in table._replaced:
+                return table._replaced[key]
+            table = table._successor._table
+        return table.get(key)
 
 
 class Router:
     """The routes of one configuration, indexed for matching.
 
-    The longest path wins; of equal paths a route for the very host wins over one for any host, and
-    a route for the very method over one for any.  A path that ends with a slash matches what is
-    below it only.
+    The longest path wins.  Among equal paths a route for the exact host wins over a route for any
+    host, and a route for the exact method over a route for any method.  A path that ends with a
+    slash matches only the paths below it.
 
-    What has not changed since an `earlier` router is taken over from it.  Where the configuration
-    tells what it changed, the table itself is taken over and only that is replaced, so that a
-    change of one route costs the same among a hundred and ten thousand.  The earlier router keeps
-    what was replaced, and answers as before.
+    Entries that have not changed are reused from an `earlier` router.  If the configuration lists
+    its changes, the router takes over the whole table and replaces only the changed entries, so
+    that changing one route costs the same with a hundred routes as with ten thousand.  The earlier
+    router keeps the replaced entries, and its matches stay the same.
     """
 
     def __init__(self, configuration: Configuration, earlier: Router | None = None) -> None:
-        for _ in self._make(configuration, earlier):
+        for _ in self._initialize(configuration, earlier):
             pass
 
     @classmethod
     def in_slices(
         cls, configuration: Configuration, earlier: Router | None = None
     ) -> Generator[None, None, Router]:
-        """Make a router with a turn for others each millisecond or so."""
+        """Build a router in slices; the generator yields about every millisecond."""
         router = cls.__new__(cls)
-        yield from router._make(configuration, earlier)
+        yield from router._initialize(configuration, earlier)
         return router
 
-    def _make(
+    def _initialize(
         self, configuration: Configuration, earlier: Router | None
     ) -> Generator[None, None, None]:
         self._configuration = configuration
-        self._matched: dict[_Match, _Matched] | _Superseded = {}
-        self._by_name: dict[str, _Matched] = {}
+        self._table: dict[_MatchKey, _RouteEntry] | _SupersededTable = {}
+        self._entries_by_name: dict[str, _RouteEntry] = {}
         self._drained = frozenset(
             (order.host, order.service) for order in configuration.all_of(DrainOrder)
         )
@@ -149,67 +153,68 @@
             yield from self._build(earlier)
 
     def _build(self, earlier: Router | None) -> Generator[None, None, None]:
-        """Make a table of all routes."""
-        known: dict[str, _Matched] = {}
+        """Build the table from all routes."""
+        earlier_entries: dict[str, _RouteEntry] = {}
         policies: frozenset[tuple[str, str]] = frozenset()
         if earlier is not None:
-            known = earlier._by_name
+            earlier_entries = earlier._entries_by_name
             policies = _changed_policies(self._configuration, earlier.configuration)
-        table: dict[_Match, _Matched] = {}
+        table: dict[_MatchKey, _RouteEntry] = {}
         for number, route in enumerate(self._configuration.all_of(Route), start=1):
-            matched = known.get(route.name)
+            entry = earlier_entries.get(route.name)
             if (
-                matched is None
-                or matched.source is not route
+                entry is None
+                or entry.source is not route
                 or (policies and not policies.isdisjoint(names_in(route)))
             ):
-                matched = self._match_of(route, matched)
-            self._by_name[route.name] = matched
-            for match in _matches_of(route):
-                table[match] = matched
-            if number % _AT_ONCE == 0:
+                entry = self._entry_for(route, entry)
+            self._entries_by_name[route.name] = entry
+            for key in _match_keys(route):
+                table[key] = entry
+            if number % _ROUTES_PER_SLICE == 0:
                 yield
-        self._matched = table
+        self._table = table
 
     def _patch(self, earlier: Router) -> bool:
-        """Take over the table of an earlier router with what has changed; false where none can be.
+        """Take over the table of an earlier router and apply the changes.
 
-        All that is new is made before the table is touched.
+        Returns false if that is not possible.  All new entries are built before the table changes.
         """
         changed = self._configuration.changed_since(earlier.configuration)
-        table = earlier._matched
-        if changed is None or isinstance(table, _Superseded):
+        table = earlier._table
+        if changed is None or isinstance(table, _SupersededTable):
             return False
-        by_name: dict[str, _Matched | None] = {}
-        matches: dict[_Match, _Matched | None] = {}
-        routes = self._routes_to_look_at(changed, earlier)
+        changed_entries: dict[str, _RouteEntry | None] = {}
+        replacements: dict[_MatchKey, _RouteEntry | None] = {}
+        routes = self._affected_routes(changed, earlier)
         for name in routes:
-            before = earlier.configuration.find(Route, name)
-            if before is not None:
-                matches.update((match, None) for match in _matches_of(before))
+            earlier_route = earlier.configuration.find(Route, name)
+            if earlier_route is not None:
+                replacements.update((key, None) for key in _match_keys(earlier_route))
         for name in routes:
             route = self._configuration.find(Route, name)
-            matched = self._match_of(route, earlier._by_name.get(name)) if route else None
-            by_name[name] = matched
+            entry = self._entry_for(route, earlier._entries_by_name.get(name)) if route else None
+            changed_entries[name] = entry
             if route is not None:
-                matches.update((match, matched) for match in _matches_of(route))
-        earlier._matched = _Superseded({match: table.get(match) for match in matches}, self)
-        self._matched, self._by_name = table, earlier._by_name
-        _replace(table, matches)
-        _replace(self._by_name, by_name)
+                replacements.update((key, entry) for key in _match_keys(route))
+        earlier._table = _SupersededTable({key: table.get(key) for key in replacements}, self)
+        self._table, self._entries_by_name = table, earlier._entries_by_name
+        _replace(table, replacements)
+        _replace(self._entries_by_name, changed_entries)
         return True
 
-    def _routes_to_look_at(self, changed: tuple[ResourceKey, ...], earlier: Router) -> list[str]:
-        """Routes that have changed, or name what stayed under its name and changed.
+    def _affected_routes(self, changed: tuple[ResourceKey, ...], earlier: Router) -> list[str]:
+        """Return the routes that have changed, or that refer to a resource that has changed.
 
-        What is new under its name was named by nobody before.
+        Only resources that exist in both configurations count, since no earlier route can refer to
+        a new one.
         """
-        routes = [key.name for key in changed if key.kind == _ROUTE]
+        routes = [key.name for key in changed if key.kind == _ROUTE_KIND]
         now, before = self._configuration, earlier.configuration
         policies = {
             (key.kind, key.name)
             for key in changed
-            if key.kind in _PLANNED
+            if key.kind in _POLICY_KINDS
             and before.has(key.kind, key.name)
             and now.has(key.kind, key.name)
         }
@@ -223,26 +228,26 @@
 
     @property
     def configuration(self) -> Configuration:
-        """The configuration that is matched against."""
+        """The configuration that the routes come from."""
         return self._configuration
 
     @property
     def key_holders(self) -> KeyHolders:
-        """Who holds which key."""
+        """The index of API keys of this configuration."""
         return self._key_holders
 
-    def _match_of(self, route: Route, known: _Matched | None) -> _Matched:
+    def _entry_for(self, route: Route, earlier: _RouteEntry | None) -> _RouteEntry:
         names = tuple(name for name, weight in route.split if weight > 0) or (route.service,)
         plans = tuple(self._plan(route, name) for name in names)
-        if known is None:
-            return _Matched(route, plans)
-        if known.plans == plans:
-            known.source = route
-            return known
-        matched = _Matched(route, plans)
-        if known.route.split == matched.route.split:
-            matched._credits = known._credits
-        return matched
+        if earlier is None:
+            return _RouteEntry(route, plans)
+        if earlier.plans == plans:
+            earlier.source = route
+            return earlier
+        entry = _RouteEntry(route, plans)
+        if earlier.route.split == entry.route.split:
+            entry._credits = earlier._credits
+        return entry
 
     def _plan(self, route: Route, service_name: str) -> Plan:
         configuration = self._configuration
@@ -258,52 +263,52 @@
         )
 
     def match(self, *, host: str, path: str, method: str) -> Plan | None:
-        """The plan for a call, or `None` when no route matches."""
+        """Return the plan for a call, or `None` if no route matches."""
         name = host.partition(":")[0]
         for prefix in _prefixes(path):
             for candidate in (name, ANY_HOST):
-                for verb in (method, ""):
-                    matched = self._matched.get((candidate, prefix, verb))
-                    if matched is not None:
-                        return matched.next_plan()
+                for allowed_method in (method, ""):
+                    entry = self._table.get((candidate, prefix, allowed_method))
+                    if entry is not None:
+                        return entry.next_plan()
         return None
 
     def drained(self, service: str) -> frozenset[str]:
-        """The hosts for which a drain order holds, for all or for this service."""
+        """Return the hosts that a drain order drains, for all services or for this one."""
         if not self._drained:
             return _NO_HOSTS
         return frozenset(host for host, of in self._drained if of in ("", service))
 
     def domain_policy(self, domain: str) -> DomainPolicy:
-        """How calls are kept within a failure domain."""
+        """Return the policy that controls which calls leave or enter a failure domain."""
         return self._domains.get(domain, _DEFAULT_DOMAIN)
 
 
 _NO_HOSTS: Final[frozenset[str]] = frozenset()
 
 
-#: The kind of routes, and the kinds of resources that a plan is made of beside its route.
-_ROUTE: Final = kind_of(Route)
-_PLANNED: Final = tuple(kind_of(cls) for cls in (Service, RetryPolicy, TimeoutPolicy))
+#: The kind of routes, and the kinds of the other resources that a plan is built from.
+_ROUTE_KIND: Final = kind_of(Route)
+_POLICY_KINDS: Final = tuple(kind_of(cls) for cls in (Service, RetryPolicy, TimeoutPolicy))
 
 
-def _matches_of(route: Route) -> Iterator[_Match]:
-    """The calls that a route is for."""
+def _match_keys(route: Route) -> Iterator[_MatchKey]:
+    """Yield the table keys of a route."""
     for method in route.methods or ("",):
         yield (route.host, route.path, method)
 
 
-def _replace(table: dict[_K, _Matched], changes: dict[_K, _Matched | None]) -> None:
-    """Put new entries into a table, and take those out that are `None`."""
-    for key, matched in changes.items():
-        if matched is None:
+def _replace(table: dict[_Key, _RouteEntry], changes: dict[_Key, _RouteEntry | None]) -> None:
+    """Apply changed entries to a table; `None` removes an entry."""
+    for key, entry in changes.items():
+        if entry is None:
             table.pop(key, None)
         else:
-            table[key] = matched
+            table[key] = entry
 
 
 def _changed_policies(now: Configuration, before: Configuration) -> frozenset[tuple[str, str]]:
-    """What plans are made of and has changed under its name."""
+    """Return the resources, other than routes, that plans use and that differ between the two."""
     changed = set()
     for cls in (Service, RetryPolicy, TimeoutPolicy):
         for resource in now.all_of(cls):
@@ -312,15 +317,15 @@
     return frozenset(changed)
 
 
-def _without_idle_shares(route: Route) -> Route:
-    """The route without the shares whose weight is nothing."""
+def _without_zero_weights(route: Route) -> Route:
+    """Return the route without the services whose weight is zero."""
     if all(weight > 0 for _, weight in route.split):
         return route
     return evolve(route, split=tuple(share for share in route.split if share[1] > 0))
 
 
 def _prefixes(path: str) -> Iterator[str]:
-    """The path and its parents, longest first, each with and without its last slash."""
+    """Yield the path and its parents, longest first, each with and without its last slash."""
     yield path
     end = path.rfind("/")
     while end >= 0:
