--- a/packages/admission/src/acaciayard_admission/_local.py
+++ b/packages/admission/src/acaciayard_admission/_local.py
@@ -116,7 +116,7 @@
         return self._target.gate.load if self._target is not None else 0.0
 
     @property
-    def pace(self) -> float:
+    def mean_seconds(self) -> float:
         """Mean seconds that a call takes at the target, for the daemon that asked."""
         return self._target.gate.mean_seconds if self._target is not None else 0.0
 
--- a/packages/calls/src/acaciayard_calls/_attempt.py
+++ b/packages/calls/src/acaciayard_calls/_attempt.py
@@ -51,7 +51,7 @@
         if not self._ended:
             self._ended = True
             exchange = self.exchange
-            self._picker.end(self.candidate, outcome, exchange.load, exchange.pace)
+            self._picker.end(self.candidate, outcome, exchange.load, exchange.mean_seconds)
             if self._run is not None:
                 self._end_run(self._run, outcome)
 
--- a/packages/calls/src/acaciayard_calls/_call_run.py
+++ b/packages/calls/src/acaciayard_calls/_call_run.py
@@ -160,7 +160,7 @@
             if not await self._may_try_again():
                 return Answered(outcome, attempt) if isinstance(outcome, Answer) else last
             attempt.exchange.close()
-            self._offers.leave_out(offer.candidate.host)
+            self._offers.exclude(offer.candidate.host)
 
     def _next_offer(self) -> Offer | None:
         """The next host; a call under suspicion goes to that of its trial and to no other."""
--- a/packages/calls/src/acaciayard_calls/_dispatcher.py
+++ b/packages/calls/src/acaciayard_calls/_dispatcher.py
@@ -4,7 +4,7 @@
 
 from acaciayard_callmodel import Call, CallWatch, NotRun, OutcomeUnknown
 from acaciayard_membership import Suspicion
-from acaciayard_routing import MOST_OFFERS, Candidate, Plan, Router
+from acaciayard_routing import MAX_OFFERS, Candidate, Plan, Router
 
 from ._attempt import Answered, Attempt, CallParts
 from ._call_run import CallRun, no_target
@@ -70,7 +70,7 @@
                 return refusal
             last = refusal
             refused.add(candidate.host)
-            if suspicion is not None or len(refused) >= MOST_OFFERS:
+            if suspicion is not None or len(refused) >= MAX_OFFERS:
                 return last
 
     def _candidate(
--- a/packages/calls/tests/load_exchange.py
+++ b/packages/calls/tests/load_exchange.py
@@ -56,7 +56,7 @@
         self._is_acknowledged = False
         self._was_sent = False
         self.load = -1.0
-        self.pace = 0.0
+        self.mean_seconds = 0.0
 
     @property
     def was_sent(self) -> bool:
@@ -123,7 +123,7 @@
 
     def _tell_load(self) -> None:
         self.load = self._there.gate.load
-        self.pace = self._there.gate.mean_seconds
+        self.mean_seconds = self._there.gate.mean_seconds
 
     async def _work(self, call: Call) -> int:
         """The target's own work, and the calls that it makes."""
--- a/packages/calls/tests/test_picker_size.py
+++ b/packages/calls/tests/test_picker_size.py
@@ -59,7 +59,7 @@
         for count in (4, 13, 40, 161, 560):
             with self.subTest(count=count):
                 self.meet(count)
-                looked_at = self.picker._services["a"].some(random.Random(1))
+                looked_at = self.picker._services["a"].sample(random.Random(1))
                 self.assertLessEqual(len(looked_at), min(count, MOST_LOOKED_AT))
                 self.assertTrue(any(c.domain == "d0" for c in looked_at))
 
@@ -77,7 +77,7 @@
         for number in range(0, 161, DOMAINS):
             candidate = self.picker.candidate("a", f"h{number}")
             assert candidate is not None
-            candidate.told_load, candidate.told_at = 2.0, self.timers.now()
+            candidate.reported_load, candidate.reported_at = 2.0, self.timers.now()
         picks = Counter(self.pick() for _ in range(6000))
         self.assertGreater(len(picks), 130)
 
--- a/packages/calls/tests/test_routing.py
+++ b/packages/calls/tests/test_routing.py
@@ -123,23 +123,26 @@
     def test_spill_over_takes_the_excess_alone(self) -> None:
         for host in ("h0", "h1"):
             candidate = self.picker.candidate("a", host)
-            candidate.told_load, candidate.told_at = 1.6, self.timers.now()
+            candidate.reported_load, candidate.reported_at = 1.6, self.timers.now()
         found = self.picks(2000)
         outside = found["h2"] + found["h3"]
         self.assertAlmostEqual(outside / 2000, 0.5, delta=0.05)
 
     def test_spill_over_stays_where_it_takes_longer_outside(self) -> None:
         candidates = {c.host: c for c in self.picker._services["a"].all}
-        for host, pace in (("h0", 0.01), ("h1", 0.01), ("h2", 0.05), ("h3", 0.05)):
-            candidates[host].pace = pace
+        for host, mean_seconds in (("h0", 0.01), ("h1", 0.01), ("h2", 0.05), ("h3", 0.05)):
+            candidates[host].mean_seconds = mean_seconds
             if host in ("h0", "h1"):
-                candidates[host].told_load, candidates[host].told_at = 0.9, self.timers.now()
+                candidates[host].reported_load, candidates[host].reported_at = (
+                    0.9,
+                    self.timers.now(),
+                )
         self.assertEqual(set(self.picks()), {"h0", "h1"})
 
     def test_fastest_of_all_domains_where_speed_counts_for_more(self) -> None:
         candidates = {c.host: c for c in self.picker._services["a"].all}
-        for host, pace in (("h0", 0.03), ("h1", 0.03), ("h2", 0.01), ("h3", 0.03)):
-            candidates[host].pace = pace
+        for host, mean_seconds in (("h0", 0.03), ("h1", 0.03), ("h2", 0.01), ("h3", 0.03)):
+            candidates[host].mean_seconds = mean_seconds
         self.assertEqual(set(self.picks()), {"h0", "h1"})
         found = self.picks(prefers_fastest=True)
         self.assertGreater(found["h2"], 100)
@@ -152,7 +155,7 @@
             candidates[host].failure_share = 0.4
         self.assertEqual(set(self.picks()), {"h2", "h3"})
         for host in ("h2", "h3"):
-            candidates[host].told_load, candidates[host].told_at = 2.0, self.timers.now()
+            candidates[host].reported_load, candidates[host].reported_at = 2.0, self.timers.now()
         found = self.picks(2000)
         self.assertGreater(found["h0"] + found["h1"], 500)
         self.timers._now += 30.0
@@ -166,7 +169,7 @@
         )
         for host in ("h0", "h1"):
             candidate = self.picker.candidate("a", host)
-            candidate.told_load, candidate.told_at = 3.0, self.timers.now()
+            candidate.reported_load, candidate.reported_at = 3.0, self.timers.now()
         self.assertEqual(set(self.picks()), {"h0", "h1"})
 
     def test_host_that_sheds_a_part_of_its_calls_gets_fewer(self) -> None:
--- a/packages/calls/tests/test_target_starts.py
+++ b/packages/calls/tests/test_target_starts.py
@@ -216,18 +216,20 @@
         self.table = MemberTable(own, timers)
         self.picker = Picker(table=self.table, timers=timers, seed=random.Random(1))
 
-    def test_failures_and_pace_of_a_start_say_nothing_of_the_next(self) -> None:
+    def test_failures_and_mean_seconds_of_a_start_say_nothing_of_the_next(self) -> None:
         self.table.merge(member(1, born=FIRST))
         first = self.picker.candidate("a", "far-1")
         assert first is not None
         for _ in range(9):
             self.picker.begin(first)
-            self.picker.end(first, OutcomeUnknown("reset"), load=2.0, pace=3.0)
+            self.picker.end(first, OutcomeUnknown("reset"), load=2.0, mean_seconds=3.0)
         self.assertGreater(first.ejected_until, 0)
         self.table.merge(member(2, born=SECOND))
         second = self.picker.candidate("a", "far-1")
         assert second is not None
-        self.assertEqual((second.ejected_until, second.pace, second.failure_share), (0, 0, 0))
+        self.assertEqual(
+            (second.ejected_until, second.mean_seconds, second.failure_share), (0, 0, 0)
+        )
 
     def test_an_answer_of_the_start_before_is_not_counted_to_the_next(self) -> None:
         self.table.merge(member(1, born=FIRST))
@@ -235,10 +237,10 @@
         assert first is not None
         self.picker.begin(first)
         self.table.merge(member(2, born=SECOND))
-        self.picker.end(first, Answer(200, b"", b"", True, 0), load=2.0, pace=3.0)
+        self.picker.end(first, Answer(200, b"", b"", True, 0), load=2.0, mean_seconds=3.0)
         second = self.picker.candidate("a", "far-1")
         assert second is not None
-        self.assertEqual((second.outstanding, second.pace, second.told_load), (0, 0, 0))
+        self.assertEqual((second.outstanding, second.mean_seconds, second.reported_load), (0, 0, 0))
 
     def test_what_is_learnt_holds_while_the_start_does(self) -> None:
         self.table.merge(member(1, born=FIRST))
--- a/packages/handover/src/acaciayard_handover/_messages.py
+++ b/packages/handover/src/acaciayard_handover/_messages.py
@@ -169,7 +169,7 @@
     #: Calls running and waiting at the target, per slot.
     load: float
     #: Mean seconds that a call takes at the target.
-    pace: float = 0.0
+    mean_seconds: float = 0.0
     #: Whether it failed for a call that the target made and that was not served.
     lacks_inner: bool = False
 
@@ -198,7 +198,7 @@
     #: Mean seconds that a call takes at the target, 0 for nothing told.  Where targets turn slow
     #: they answer seldom and refuse often: late calls fell from 58 to 52 in 1,000 (eight seeds)
     #: when refusals told it as well.
-    pace: float = 0.0
+    mean_seconds: float = 0.0
     #: Whether the call itself is refused, so that every host would refuse it.
     is_barred: bool = False
 
--- a/packages/handover/src/acaciayard_handover/_remote.py
+++ b/packages/handover/src/acaciayard_handover/_remote.py
@@ -60,7 +60,7 @@
         self._on_acknowledged: Callable[[], None] | None = None
         self._opening: anyio.CancelScope | None = None
         self._load = -1.0
-        self._pace = 0.0
+        self._mean_seconds = 0.0
         self._is_aborted = False
         self._sent = False
 
@@ -85,9 +85,9 @@
         return self._load
 
     @property
-    def pace(self) -> float:
+    def mean_seconds(self) -> float:
         """Mean seconds that a call takes at the target as told with the answer, 0 before."""
-        return self._pace
+        return self._mean_seconds
 
     async def start(self) -> NotRun | None:
         """Open a stream and send the head; the refusal where no stream could be opened."""
@@ -219,7 +219,7 @@
 
     def _refusal_of(self, refused: Refused) -> NotRun:
         self._load = refused.load
-        self._pace = refused.pace
+        self._mean_seconds = refused.mean_seconds
         self._release(reuse=self._body_sent or self._is_held)
         return NotRun(
             refused.reason,
@@ -264,7 +264,7 @@
 
     def _answer_of(self, head: AnswerHead) -> Answer:
         self._load = head.load
-        self._pace = head.pace
+        self._mean_seconds = head.mean_seconds
         answer = Answer(
             status=head.status,
             fields=head.fields,
--- a/packages/handover/src/acaciayard_handover/_server.py
+++ b/packages/handover/src/acaciayard_handover/_server.py
@@ -328,7 +328,7 @@
                 refusal.is_overload,
                 exchange.load,
                 refusal.is_by_target,
-                exchange.pace,
+                exchange.mean_seconds,
                 refusal.is_barred,
             )
         )
@@ -386,6 +386,6 @@
         ends_by_close=answer.ends_by_close,
         trailers=flatten(answer.trailers),
         load=exchange.load,
-        pace=exchange.pace,
+        mean_seconds=exchange.mean_seconds,
         lacks_inner=answer.lacks_inner,
     )
--- a/packages/routing/src/acaciayard_routing/__init__.py
+++ b/packages/routing/src/acaciayard_routing/__init__.py
@@ -2,14 +2,14 @@
 
 from ._candidates import Candidate
 from ._key_holders import KeyHolders
-from ._offers import MOST_OFFERS, Offer, Offers
+from ._offers import MAX_OFFERS, Offer, Offers
 from ._picker import Picker, trial_rank
 from ._router import Plan, Router
 
 __all__ = [
     "Candidate",
     "KeyHolders",
-    "MOST_OFFERS",
+    "MAX_OFFERS",
     "Offer",
     "Offers",
     "Picker",
--- a/packages/routing/src/acaciayard_routing/_candidates.py
+++ b/packages/routing/src/acaciayard_routing/_candidates.py
@@ -59,12 +59,12 @@
     #: Whether the failure detector suspects the host.
     is_suspect: bool = False
     #: Mean duration of a call in seconds, as last reported by the host; 0 before the first report.
-    pace: float = 0.0
+    mean_seconds: float = 0.0
     #: Calls from this daemon that are in flight.
     outstanding: int = 0
     #: Load per slot that the host last reported, and when.
-    told_load: float = 0.0
-    told_at: float = 0.0
+    reported_load: float = 0.0
+    reported_at: float = 0.0
     #: Consecutive failed calls.
     failures: int = 0
     #: Exponentially smoothed share of failed calls.
@@ -86,7 +86,7 @@
 
     def load(self, now: float) -> float:
         """Return the estimated load per slot."""
-        reported = self.told_load * math.exp(-(now - self.told_at) / _LOAD_DECAY_SECONDS)
+        reported = self.reported_load * math.exp(-(now - self.reported_at) / _LOAD_DECAY_SECONDS)
         return max(reported, self.outstanding / max(1, self.slots))
 
     def recent_failure_share(self, now: float) -> float:
@@ -170,7 +170,7 @@
         self._in_domain = [c for c in self._hosts.values() if c.domain == self._own_domain]
         self._out_of_domain = [c for c in self._hosts.values() if c.domain != self._own_domain]
 
-    def some(self, seed: random.Random) -> Collection[Candidate]:
+    def sample(self, seed: random.Random) -> Collection[Candidate]:
         """Return the candidates to consider for one call."""
         if len(self._hosts) <= 2 * _SAMPLE_SIZE:
             return self._hosts.values()
--- a/packages/routing/src/acaciayard_routing/_offers.py
+++ b/packages/routing/src/acaciayard_routing/_offers.py
@@ -12,10 +12,10 @@
 from ._picker import Picker
 from ._router import Plan, Router
 
-__all__ = ["MOST_OFFERS", "Offer", "Offers"]
+__all__ = ["MAX_OFFERS", "Offer", "Offers"]
 
 #: Maximum number of hosts that a call is offered to when each of them refuses it.
-MOST_OFFERS: Final = 4
+MAX_OFFERS: Final = 4
 #: First offers of a call that are accepted only if a slot is free.  Load reports are some
 #: milliseconds old, and a refusal costs 0.2 to 3 ms where waiting costs tens of milliseconds.  A
 #: host that has recently reported no free slot gets no such offer: if targets are short of slots,
@@ -57,7 +57,7 @@
         is_late: bool = False,
         prefers_fastest: bool = False,
     ) -> None:
-        self._max_offers = _NO_WAIT_OFFERS if is_late else MOST_OFFERS
+        self._max_offers = _NO_WAIT_OFFERS if is_late else MAX_OFFERS
         self._prefers_fastest = prefers_fastest
         self._picker = picker
         self._plan = plan
@@ -98,6 +98,6 @@
         has_no_free_slot = refusal.is_overload and not refusal.is_by_target and not offer.may_wait
         (self._full_hosts if has_no_free_slot else self._excluded).add(offer.candidate.host)
 
-    def leave_out(self, host: str) -> None:
+    def exclude(self, host: str) -> None:
         """Exclude a host at which an attempt has failed from further offers."""
         self._excluded.add(host)
--- a/packages/routing/src/acaciayard_routing/_picker.py
+++ b/packages/routing/src/acaciayard_routing/_picker.py
@@ -189,17 +189,17 @@
         versions: Versions,
     ) -> list[Candidate]:
         """Return usable candidates from a sample, or from all candidates if the sample has none."""
-        for some in (candidates.some(self._seed), candidates.all):
+        for sample in (candidates.sample(self._seed), candidates.all):
             if versions is not ANY_VERSION:
-                some = [c for c in some if versions.admits(c.version)]
-            usable = self._usable(some, plan, router, now, avoid)
+                sample = [c for c in sample if versions.admits(c.version)]
+            usable = self._usable(sample, plan, router, now, avoid)
             if usable:
                 return usable
         return []
 
     @staticmethod
     def _usable(
-        some: Collection[Candidate],
+        sample: Collection[Candidate],
         plan: Plan,
         router: Router,
         now: float,
@@ -207,8 +207,8 @@
     ) -> list[Candidate]:
         """Return the given candidates that a call may go to."""
         service = plan.service.name
-        drained = router.drained(service)
-        present = [c for c in some if c.state < _DRAINING and c.host not in drained]
+        drained_hosts = router.drained_hosts(service)
+        present = [c for c in sample if c.state < _DRAINING and c.host not in drained_hosts]
         usable = [c for c in present if c.ejected_until <= now and not c.is_suspect]
         if len(usable) < len(present) * _MIN_USABLE_SHARE:
             usable = present
@@ -261,8 +261,8 @@
         if len(pool) == 1:
             return pool[0]
         sample = self._seed.sample(pool, min(_COMPARED_HOSTS, len(pool)))
-        mean_pace = _mean_pace(pool)
-        return min(sample, key=lambda c: _score(c, now, warm_up, mean_pace))
+        default_seconds = _average_mean_seconds(pool)
+        return min(sample, key=lambda c: _score(c, now, warm_up, default_seconds))
 
     def is_full(self, candidate: Candidate) -> bool:
         """Return whether a host has no free slot, by its recent load."""
@@ -279,13 +279,13 @@
         candidates = self._services.get(plan.service.name)
         if candidates is None:
             return None
-        drained = router.drained(plan.service.name)
+        drained_hosts = router.drained_hosts(plan.service.name)
         versions = self._rollouts.base_versions(plan.service.name)
         usable = [
             c
             for c in candidates.all
             if c.state < _DRAINING
-            and c.host not in drained
+            and c.host not in drained_hosts
             and c.host not in avoid
             and versions.admits(c.version)
         ]
@@ -306,20 +306,20 @@
         candidate: Candidate,
         outcome: Answer | NotRun | OutcomeUnknown,
         load: float,
-        pace: float = 0.0,
+        mean_seconds: float = 0.0,
     ) -> None:
         """Record that a call to the host has ended.
 
-        `load` and `pace` are what the host reported: calls per slot, negative if unknown, and the
-        mean duration of a call in seconds, 0 if unknown.
+        `load` and `mean_seconds` are what the host reported: calls per slot, negative if unknown,
+        and the mean duration of a call, 0 if unknown.
         """
         candidate.outstanding -= 1
         now = self._timers.now()
         if load >= 0:
-            candidate.told_load = load
-            candidate.told_at = now
-        if pace > 0:
-            candidate.pace = pace
+            candidate.reported_load = load
+            candidate.reported_at = now
+        if mean_seconds > 0:
+            candidate.mean_seconds = mean_seconds
         match outcome:
             case NotRun(is_by_target=True):
                 # The target may refuse only one kind of call, such as long uploads: no reason to
@@ -382,13 +382,13 @@
     return busy / max(1, slots)
 
 
-def _mean_pace(pool: Sequence[Candidate]) -> float:
-    """Return the mean pace of the candidates that have reported one, or 1 if none has."""
-    reported = [c.pace for c in pool if c.pace > 0]
+def _average_mean_seconds(pool: Sequence[Candidate]) -> float:
+    """Return the average mean duration of the candidates that reported one, or 1 if none did."""
+    reported = [c.mean_seconds for c in pool if c.mean_seconds > 0]
     return sum(reported) / len(reported) if reported else 1.0
 
 
-def _score(candidate: Candidate, now: float, warm_up: float, mean_pace: float) -> float:
+def _score(candidate: Candidate, now: float, warm_up: float, default_seconds: float) -> float:
     """Return the expected duration of one more call, including the wait for a slot.
 
     Calls are expected to queue from `_QUEUEING_LOAD` on, since they arrive unevenly and load
@@ -405,4 +405,4 @@
         if failure_share > TOLERATED_FAILURE_SHARE
         else 1.0
     )
-    return (candidate.pace or mean_pace) * (1 + effective_load) / success_share
+    return (candidate.mean_seconds or default_seconds) * (1 + effective_load) / success_share
--- a/packages/routing/src/acaciayard_routing/_router.py
+++ b/packages/routing/src/acaciayard_routing/_router.py
@@ -143,7 +143,7 @@
         self._configuration = configuration
         self._table: dict[_MatchKey, _RouteEntry] | _SupersededTable = {}
         self._entries_by_name: dict[str, _RouteEntry] = {}
-        self._drained = frozenset(
+        self._drain_orders = frozenset(
             (order.host, order.service) for order in configuration.all_of(DrainOrder)
         )
         workspaces = tuple(configuration.all_of(Workspace))
@@ -273,11 +273,11 @@
                         return entry.next_plan()
         return None
 
-    def drained(self, service: str) -> frozenset[str]:
+    def drained_hosts(self, service: str) -> frozenset[str]:
         """Return the hosts that a drain order drains, for all services or for this one."""
-        if not self._drained:
+        if not self._drain_orders:
             return _NO_HOSTS
-        return frozenset(host for host, of in self._drained if of in ("", service))
+        return frozenset(host for host, of in self._drain_orders if of in ("", service))
 
     def domain_policy(self, domain: str) -> DomainPolicy:
         """Return the policy that controls which calls leave or enter a failure domain."""
