--- a/packages/routing/src/acaciayard_routing/__init__.py
+++ b/packages/routing/src/acaciayard_routing/__init__.py
@@ -1,15 +1,15 @@
-"""Choosing a target: routes, the hosts that can take a call, and which of them gets it."""
+"""Route matching and load balancing: which service answers a call, and on which host."""
 
 from ._candidates import Candidate
 from ._key_holders import KeyHolders
-from ._offers import MOST_OFFERS, Offer, Offers
+from ._offers import MAX_OFFERS, Offer, Offers
 from ._picker import Picker, trial_rank
 from ._router import Plan, Router
 
 __all__ = [
     "Candidate",
     "KeyHolders",
-    "MOST_OFFERS",
+    "MAX_OFFERS",
     "Offer",
     "Offers",
     "Picker",
