--- a/packages/membership/src/acaciayard_membership/_member.py
+++ b/packages/membership/src/acaciayard_membership/_member.py
@@ -1,4 +1,4 @@
-"""What daemons tell each other about themselves."""
+"""The records of membership: what daemons publish about themselves and their targets."""
 
 from __future__ import annotations
 
@@ -20,111 +20,114 @@
     "Suspicion",
     "TargetInfo",
     "TargetState",
-    "is_ip",
+    "validate_ip",
 ]
 
-#: Characters of a name; those of hosts, targets and services are some tens long.
-_LONGEST_NAME: Final = 250
-#: Targets on one host; it has one or two, and some that leave.
-_MOST_TARGETS: Final = 300
-#: Suspicions that one daemon tells; it sends fewer, and the bound is for records of others.
-_MOST_SUSPICIONS: Final = 100
-#: Bytes of the fingerprint of a request.
+#: Maximum length of a name, in characters; names of hosts, targets and services have some tens.
+_MAX_NAME_LENGTH: Final = 250
+#: Maximum of targets on one host; usually it has one or two, and a few that are draining.
+_MAX_TARGETS: Final = 300
+#: Maximum of suspicions in one record; daemons publish fewer, the bound guards against bad records.
+_MAX_SUSPICIONS: Final = 100
+#: Length of the fingerprint of a request, in bytes.
 _FINGERPRINT_BYTES: Final = 8
-_NAME: Final = and_(instance_of(str), max_len(_LONGEST_NAME))
+_NAME: Final = and_(instance_of(str), max_len(_MAX_NAME_LENGTH))
 _COUNT: Final = and_(instance_of(int), ge(0), lt(2**63))
 #: Validates a port number; 0 where there is no such port.
 PORT: Final = and_(instance_of(int), ge(0), le(65535))
 
 
-def is_ip(_message: object, _attribute: attrs.Attribute[str], value: str) -> None:
-    """Validates an IPv4 number; a name would be looked up, and nothing here may wait for that."""
+def validate_ip(_message: object, _attribute: attrs.Attribute[str], value: str) -> None:
+    """Validate an IPv4 address.
+
+    Host names are rejected: resolving one would block, and no caller can wait for it.
+    """
     IPv4Address(value)  # raises ValueError
 
 
-def _is_amount(_record: object, attribute: attrs.Attribute[float], value: float) -> None:
+def _validate_amount(_record: object, attribute: attrs.Attribute[float], value: float) -> None:
     if not (math.isfinite(value) and value >= 0):
         raise ValueError(f"{attribute.name} is {value}")
 
 
 class MemberState(IntEnum):
-    """What is believed of a daemon; of two beliefs of one age the later in this list wins."""
+    """State of a daemon; between records of equal incarnation and sequence the greater one wins."""
 
-    #: It answers.
+    #: It answers probes.
     ALIVE = 0
-    #: It did not answer; it may still refute.
+    #: It did not answer a probe, and may still refute the suspicion.
     SUSPECT = 1
-    #: It did not answer for long enough to count as failed.
+    #: It did not refute the suspicion in time and counts as failed.
     DEAD = 2
-    #: It said that it leaves.
+    #: It announced that it leaves.
     LEFT = 3
 
 
 class TargetState(IntEnum):
-    """What a target says of itself."""
+    """State of a target, as the target reports it."""
 
-    #: Takes calls.
+    #: Accepts calls.
     READY = 0
-    #: Has just started and takes few.
+    #: Has just started and accepts few calls.
     STARTING = 1
-    #: Finishes what it has and takes nothing new.
+    #: Finishes its running calls and accepts no new ones.
     DRAINING = 2
-    #: Its daemon admits nothing to it at present; the target itself stays.
+    #: Its daemon admits no calls to it at present; the target itself remains registered.
     CLOSED = 3
 
 
 @frozen
 class TargetInfo:
-    """A target as the other daemons need to know it."""
+    """What a daemon publishes about one of its targets."""
 
-    #: Service that it answers for.
+    #: Service that it belongs to.
     service: str = field(validator=_NAME)
-    #: Identity, unique on its host.
+    #: Name of the target, unique on its host.
     name: str = field(validator=_NAME)
-    #: Calls that it runs at once.
+    #: Number of calls that it runs concurrently.
     slots: int = field(validator=_COUNT)
-    #: What it says of itself.
+    #: State that it reports.
     state: int = field(default=TargetState.READY, validator=in_(frozenset(TargetState)))
-    #: When it started, in Unix milliseconds by the clock of its host; 0 where it does not tell.
+    #: Start time in Unix milliseconds by the clock of its host; 0 if it does not report one.
     born: int = field(default=0, validator=_COUNT)
-    #: Version of its software; empty where it does not tell.
+    #: Version of its software; empty if it does not report one.
     version: str = field(default="", validator=_NAME)
-    #: Seconds for which it was still to be slow when it was first heard of, as it said itself.
-    cold_s: float = field(default=0.0, validator=_is_amount)
+    #: Remaining seconds of its slow start when it was first registered, as it reports them.
+    cold_s: float = field(default=0.0, validator=_validate_amount)
 
 
 @frozen
 class Suspicion:
-    """What a daemon holds against a request that was at work when targets ended.
+    """Evidence that a request ends targets: it was running when they ended.
 
-    Of two about one request the later one wins, by `age`.
+    Of two suspicions about one request the one with the greater `age` wins.
     """
 
-    #: What the request asks for, as a hash.
+    #: Hash of the content of the request.
     fingerprint: bytes = field(
         validator=and_(instance_of(bytes), min_len(_FINGERPRINT_BYTES), max_len(_FINGERPRINT_BYTES))
     )
-    #: Grows with each piece of evidence.
+    #: Incremented with each new observation.
     sequence: int = field(validator=_COUNT)
-    #: Targets that have ended under it, one after the other; 0 once a target has answered it.
+    #: Consecutive targets that ended while running it; 0 once a target has answered it.
     ends: int = field(validator=_COUNT)
 
     def with_changes(self, **changes: Any) -> Suspicion:
-        """A copy with some attributes changed."""
+        """A copy with the given attributes changed."""
         return evolve(self, **changes)
 
     @property
     def age(self) -> tuple[int, int]:
-        """Its place in the order of all that is believed of this request."""
+        """Sort key among all suspicions about this request; the greatest is the newest."""
         return (self.sequence, self.ends)
 
 
 @frozen
 class Member:
-    """One daemon, as of one moment that it chose itself.
+    """A record of one daemon.
 
-    Records come from other daemons, and perhaps from other writers: what is out of bounds raises
-    `ValueError` here, so that no part need ask again whether a state or a port is one.
+    Records come from other daemons, and perhaps from other writers.  The validators raise
+    `ValueError` for values out of bounds, so that no other code needs to check states or ports.
 
     Records of one daemon are ordered by `(incarnation, sequence, state)`; the greatest wins,
     whatever the order in which they arrive.
@@ -132,45 +135,45 @@
 
     #: Name of the host.
     host: str = field(validator=and_(_NAME, min_len(1)))
-    #: Grows with every start of the daemon.
+    #: Increases with every start of the daemon.
     incarnation: int = field(validator=_COUNT)
-    #: Grows with every change that the daemon makes to its record.
+    #: Increases with every change that the daemon makes to its record.
     sequence: int = field(validator=_COUNT)
-    #: What is believed of it.
+    #: State of the daemon, a `MemberState`.
     state: int = field(validator=in_(frozenset(MemberState)))
     #: Failure domain.
     domain: str = field(validator=_NAME)
-    #: IP number of all its ports.
-    ip: str = field(validator=is_ip)
-    #: Port for daemons, TCP and UDP.
+    #: IPv4 address of all its ports.
+    ip: str = field(validator=validate_ip)
+    #: Port for control messages between daemons, TCP and UDP.
     control_port: int = field(validator=PORT)
     #: Port for calls between daemons.
     call_port: int = field(validator=PORT)
     #: Port for operators and for the targets on its host.
     api_port: int = field(validator=PORT)
     #: Targets on its host.
-    targets: tuple[TargetInfo, ...] = field(default=(), validator=max_len(_MOST_TARGETS))
-    #: Whether the platform's store answers it.
+    targets: tuple[TargetInfo, ...] = field(default=(), validator=max_len(_MAX_TARGETS))
+    #: Whether the platform's store answers its requests.
     is_fed: bool = True
-    #: Bandwidth of its link in Mbit/s, 0 where it is not known.
-    link_mbps: float = field(default=0.0, validator=_is_amount)
-    #: Whether the platform's store says where it can be met.
+    #: Bandwidth of its link in Mbit/s, 0 if unknown.
+    link_mbps: float = field(default=0.0, validator=_validate_amount)
+    #: Whether its address is published in the platform's store.
     is_listed: bool = False
-    #: What it has found out itself of requests that were at work when targets ended.
-    suspicions: tuple[Suspicion, ...] = field(default=(), validator=max_len(_MOST_SUSPICIONS))
+    #: Its own observations of requests that were running when targets ended.
+    suspicions: tuple[Suspicion, ...] = field(default=(), validator=max_len(_MAX_SUSPICIONS))
 
     def with_changes(self, **changes: Any) -> Member:
-        """A copy with some attributes changed."""
+        """A copy with the given attributes changed."""
         return evolve(self, **changes)
 
     @property
     def age(self) -> tuple[int, int, int]:
-        """Its place in the order of all records of this daemon."""
+        """Sort key among all records of this daemon; the greatest is the newest."""
         return (self.incarnation, self.sequence, self.state)
 
     @property
     def is_present(self) -> bool:
-        """Whether it counts as running: alive, or suspect and not yet given up."""
+        """Whether it counts as running: alive or suspect, but neither dead nor left."""
         return self.state in (MemberState.ALIVE, MemberState.SUSPECT)
 
     @property
@@ -180,5 +183,5 @@
 
     @property
     def calls(self) -> Address:
-        """Address of its port for calls between daemons."""
+        """Address of its port for calls from other daemons."""
         return Address(self.ip, self.call_port)
--- a/packages/membership/src/acaciayard_membership/_messages.py
+++ b/packages/membership/src/acaciayard_membership/_messages.py
@@ -1,7 +1,7 @@
-"""Messages between the membership parts of daemons.
+"""Messages of the membership protocol.
 
-Members travel as bytes made by `MEMBER_CODEC`: a record is packed once by its owner and passed on
-unopened, and a record that is known already is recognised without opening it.
+Records of members are transferred as bytes that `MEMBER_CODEC` has encoded: the owner packs its
+record once, others forward it unchanged, and a known record is recognised without decoding it.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 from acaciayard_wire import MessageCodec
 
-from ._member import PORT, Member, is_ip
+from ._member import PORT, Member, validate_ip
 
 __all__ = [
     "MEMBERSHIP_MESSAGES",
@@ -31,21 +31,21 @@
 
 @frozen
 class Probe:
-    """Are you there?"""
+    """Asks a member for a sign of life."""
 
-    #: Chosen by the asker; the answer carries it back.
+    #: Chosen by the sender; the answer repeats it.
     number: int
-    #: Host of the asker.
+    #: Host of the sender.
     host: str
-    #: Log position that the asker holds.
+    #: Log position that the sender holds.
     position: int
-    #: Packed members that may be news.
+    #: Packed records that may be new to the receiver.
     updates: list[bytes]
 
 
 @frozen
 class Ack:
-    """I am here."""
+    """Answers a `Probe`."""
 
     #: Number of the probe.
     number: int
@@ -53,35 +53,35 @@
     host: str
     #: Log position that it holds.
     position: int
-    #: Packed members that may be news.
+    #: Packed records that may be new to the receiver.
     updates: list[bytes]
-    #: Stands for all that it knows: equal numbers mean equal tables; 0 where it does not tell.
+    #: Digest of its whole table: equal numbers mean equal tables; 0 if it does not send one.
     summary: int = 0
 
 
 @frozen
 class ProbeRequest:
-    """Ask that member for me; its answer is to be passed on."""
+    """Asks the receiver to probe a member on the sender's behalf and to forward the answer."""
 
-    #: Number for the answer to carry back.
+    #: Number that the forwarded answer repeats.
     number: int
-    #: IP number of the member.
-    ip: str = field(validator=is_ip)
+    #: IPv4 address of the member.
+    ip: str = field(validator=validate_ip)
     #: Control port of the member.
     port: int = field(validator=PORT)
 
 
 @frozen
 class Gossip:
-    """News that was not asked for."""
+    """Updates sent in a gossip round."""
 
-    #: Packed members.
+    #: Packed records.
     updates: list[bytes]
 
 
 @frozen
 class DigestOffer:
-    """First message of an exchange: digests of all I know, by bucket."""
+    """First message of an exchange: the sender's digests, by bucket."""
 
     #: One number per bucket.
     digests: list[int]
@@ -89,19 +89,19 @@
 
 @frozen
 class DigestReply:
-    """What I know in the buckets that differ; tell me what you know there."""
+    """Second message of an exchange: all records that its sender has in the differing buckets."""
 
-    #: The buckets.
+    #: Numbers of the buckets that differ.
     buckets: list[int]
-    #: Packed members in them.
+    #: Packed records in these buckets.
     updates: list[bytes]
 
 
 @frozen
 class Records:
-    """Last message of an exchange: what the other end lacks."""
+    """Last message of an exchange: the records that the other end lacks."""
 
-    #: Packed members.
+    #: Packed records.
     updates: list[bytes]
 
 
--- a/packages/membership/src/acaciayard_membership/_news.py
+++ b/packages/membership/src/acaciayard_membership/_news.py
@@ -1,4 +1,4 @@
-"""What logs say of a member whose record has changed."""
+"""Log fields for a member whose state has changed."""
 
 from __future__ import annotations
 
@@ -8,10 +8,9 @@
 
 
 def member_news(before: Member | None, now: Member) -> dict[str, object] | None:
-    """The fields of a log line; `None` where what is believed of the daemon is as before.
+    """The fields of a log line, or `None` when neither state nor incarnation has changed.
 
-    Records change with each target that comes or goes; only another start or another state of the
-    daemon itself is worth a line.
+    Records also change whenever a target is added or removed; such changes are not logged.
     """
     if before is not None and (before.state, before.incarnation) == (now.state, now.incarnation):
         return None
--- a/packages/membership/src/acaciayard_membership/_rendezvous.py
+++ b/packages/membership/src/acaciayard_membership/_rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: every daemon that knows the same members picks the same ones of them."""
+"""Rendezvous hashing: daemons that know the same members choose the same ones."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 
 def rendezvous(purpose: str, members: Iterable[Member], count: int) -> tuple[Member, ...]:
-    """The `count` members that are to serve `purpose`, the first choice first.
+    """The `count` members chosen for `purpose`, in order of preference.
 
-    A member that goes changes the choice only where it was chosen itself.
+    The removal of a member changes the choice only if that member was chosen.
     """
 
-    def rank(member: Member) -> bytes:
+    def hash_of(member: Member) -> bytes:
         text = f"{purpose}\0{member.host}".encode()
         return hashlib.blake2b(text, digest_size=8).digest()
 
-    return tuple(sorted(members, key=rank)[:count])
+    return tuple(sorted(members, key=hash_of)[:count])
--- a/packages/membership/src/acaciayard_membership/_service.py
+++ b/packages/membership/src/acaciayard_membership/_service.py
@@ -1,4 +1,4 @@
-"""The membership of one daemon, put together."""
+"""The membership service of one daemon, composed of its parts."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class Membership:
-    """Who else is there.
+    """The members of the mesh as this daemon knows them.
 
     Example:
 
@@ -41,45 +41,45 @@
         self._detector = detector
         self._gossip = gossip
         self._exchanger = exchanger
-        detector.on_difference(exchanger.settle_with)
+        detector.on_table_mismatch(exchanger.request_exchange)
 
     @property
     def table(self) -> MemberTable:
-        """All members that are known."""
+        """The table of all known members."""
         return self._table
 
     def on_position(self, listener: Callable[[str, int], None]) -> None:
-        """Call `listener` with host and log position of every member heard from."""
+        """Call `listener` with the host and log position of every probe and ack received."""
         self._detector.on_position(listener)
 
     async def join(self, *, within: float) -> Joined | JoinFailed:
-        """Meet the others through the seeds."""
+        """Join the mesh through the seeds; retries for `within` seconds."""
         return await self._exchanger.join(within=within)
 
     async def meet(self, addresses: Iterable[Address]) -> int:
-        """Exchange tables with the daemons at these addresses; how many answered."""
+        """Exchange tables with the daemons at `addresses`; returns how many answered."""
         return await self._exchanger.meet(addresses)
 
     def on_stranger(self, listener: Callable[[Address], None]) -> None:
-        """Call `listener` with the address of every probe from a daemon that is not known."""
+        """Call `listener` with the sender's address of every probe from an unknown daemon."""
         self._detector.on_stranger(listener)
 
     async def run(self) -> None:
-        """Keep the table up to date for ever."""
+        """Keep the table up to date until cancelled."""
         async with anyio.create_task_group() as tasks:
             for part in (self._detector.run, self._gossip.run, self._exchanger.run):
                 tasks.start_soon(self._account.run, ProcessorPart.EXCHANGE, part)
 
     def forget_news(self) -> None:
-        """Pass nothing on of what is known by now, since everybody knows it."""
+        """Drop all pending updates, for a mesh in which all members know them already."""
         self._gossip.forget()
 
     def flush(self) -> None:
-        """Send what is news here to more members than a round of gossip does."""
+        """Send pending updates now, to more members than a gossip round does."""
         self._gossip.flush()
 
     async def leave(self) -> None:
-        """Tell the others that this daemon leaves."""
+        """Announce to the other members that this daemon leaves."""
         self._table.leave()
         self._gossip.flush()
 
@@ -95,7 +95,7 @@
     position: Callable[[], int],
     detector: DetectorSettings,
 ) -> Membership:
-    """The membership of the daemon `own`; `position` tells the log position that it holds."""
+    """Build the membership of the daemon `own`; `position` returns the log position it holds."""
     table = MemberTable(own, timers)
     queue = GossipQueue(table, seed)
     return Membership(
--- a/packages/membership/src/acaciayard_membership/_table.py
+++ b/packages/membership/src/acaciayard_membership/_table.py
@@ -1,4 +1,4 @@
-"""The table of all members that a daemon knows of."""
+"""The table of all members that a daemon knows."""
 
 from __future__ import annotations
 
@@ -19,10 +19,11 @@
 
 __all__ = ["BUCKETS", "MemberTable", "Neighbourhood"]
 
-#: Buckets into which members are sorted for exchanges.
+#: Number of buckets into which hosts are hashed for exchanges.
 BUCKETS: Final = 64
-#: Seconds for which a failed or departed member is remembered, so that old news of it stays old.
-_REMEMBERED_FOR: Final = 600.0
+#: Seconds for which the record of a dead or departed member is kept, so that older records of it
+#: that still circulate are recognised as outdated.
+_ABSENT_RETENTION: Final = 600.0
 
 
 @define
@@ -30,21 +31,24 @@
     member: Member
     packed: bytes
     digest: int
-    #: When the present state was learnt, by the timer service.
-    since: float
+    #: Time at which this record was stored, by the clock of the timer service.
+    stored_at: float
 
 
 @frozen
 class Neighbourhood:
-    """The other members as seen from one failure domain."""
+    """The other members that count as running, grouped by failure domain."""
 
-    #: Members in the own failure domain.
+    #: Members of the own failure domain.
     near: tuple[Member, ...]
-    #: Members of each other failure domain that has any.
+    #: Members of each other failure domain.
     far: tuple[tuple[Member, ...], ...]
 
     def choose_far(self, seed: random.Random) -> Member | None:
-        """A member of another failure domain, each domain being as likely; `None` without one."""
+        """A random member of another failure domain, or `None` when there is none.
+
+        Each domain is equally likely.
+        """
         return seed.choice(seed.choice(self.far)) if self.far else None
 
 
@@ -53,13 +57,14 @@
 
 
 class MemberTable:
-    """Merges records of members; the newest of each wins.
+    """Merges records of members; the newest record of each one wins.
 
-    Listeners are told every change, in order: the record before (or `None`) and the one now.
+    Listeners are called for every change, in order, with the previous record (or `None`) and the
+    new one.
 
     Example:
 
-        table.merge(packed)         # True when it was news
+        table.merge(packed)         # True if the record was new
         table.present()             # members that count as running
     """
 
@@ -68,10 +73,10 @@
         self._started = timers.now()
         self._entries: dict[str, _Entry] = {}
         self._digests = [0] * BUCKETS
-        self._known: dict[bytes, str] = {}
+        self._hosts_by_record: dict[bytes, str] = {}
         self._present_count = 0
         self._listeners: list[Callable[[Member | None, Member], None]] = []
-        self._past_listeners: list[Callable[[Member], None]] = []
+        self._previous_incarnation_listeners: list[Callable[[Member], None]] = []
         self._own_host = own.host
         self._present: tuple[Member, ...] | None = None
         self._neighbourhood: Neighbourhood | None = None
@@ -86,12 +91,12 @@
         return self._entries[self._own_host].member
 
     def find(self, host: str) -> Member | None:
-        """The record of a host, or `None`."""
+        """The record of a host, or `None` if it is unknown."""
         entry = self._entries.get(host)
         return entry.member if entry is not None else None
 
     def present(self) -> tuple[Member, ...]:
-        """Members that count as running, this daemon included, by host."""
+        """Members that count as running, this daemon included, sorted by host."""
         if self._present is None:
             members = (entry.member for entry in self._entries.values())
             present = (member for member in members if member.is_present)
@@ -100,12 +105,12 @@
 
     @property
     def present_count(self) -> int:
-        """How many members count as running, this daemon included."""
+        """Number of members that count as running, this daemon included."""
         return self._present_count
 
     def host_of(self, packed: bytes) -> str | None:
-        """The host whose present record is `packed`, `None` when it is no present record."""
-        return self._known.get(packed)
+        """The host whose current record is `packed`, or `None` if it is no current record."""
+        return self._hosts_by_record.get(packed)
 
     def others(self) -> Iterator[Member]:
         """Members that count as running, without this daemon."""
@@ -113,15 +118,15 @@
 
     @property
     def domain_count(self) -> int:
-        """Failure domains that have members that count as running."""
+        """Number of failure domains with members that count as running."""
         return len(self._domains)
 
     def count_in(self, domain: str) -> int:
-        """How many members of a failure domain count as running."""
+        """Number of members of a failure domain that count as running."""
         return self._domains[domain]
 
     def neighbourhood(self) -> Neighbourhood:
-        """The other members that count as running, parted by failure domain."""
+        """The other members that count as running, grouped by failure domain."""
         if self._neighbourhood is None:
             domains: dict[str, list[Member]] = {}
             for member in self.others():
@@ -131,66 +136,67 @@
         return self._neighbourhood
 
     def lost(self) -> tuple[Member, ...]:
-        """Members that count as failed."""
+        """Members whose state is dead."""
         entries = self._entries.values()
         return tuple(e.member for e in entries if e.member.state == MemberState.DEAD)
 
     def lost_since(self, when: float) -> tuple[Member, ...]:
-        """Members that have been taken for failed since `when`."""
+        """Members whose state has become dead since `when`."""
         return tuple(
             entry.member
             for entry in self._entries.values()
-            if entry.member.state == MemberState.DEAD and entry.since >= when
+            if entry.member.state == MemberState.DEAD and entry.stored_at >= when
         )
 
     def gone_since(self, when: float) -> tuple[Member, ...]:
-        """Members that have failed or left since `when`; a daemon that was restarted is among them.
+        """Members that have failed or left since `when`, daemons that are restarting included.
 
-        Where the platform's store is out, a restarted daemon knows nobody and cannot ask.
+        While the platform's store is unavailable, a restarted daemon knows no other daemon and has
+        no way to look one up.
         """
         return tuple(
             entry.member
             for entry in self._entries.values()
-            if not entry.member.is_present and entry.since >= when
+            if not entry.member.is_present and entry.stored_at >= when
         )
 
     def digests(self) -> list[int]:
-        """One number per bucket; equal numbers mean equal records."""
+        """One digest per bucket; equal digests mean equal records."""
         return list(self._digests)
 
     @property
     def summary(self) -> int:
-        """One number for all that is known; equal numbers mean equal records."""
-        whole = 0
+        """Digest of the whole table; equal digests mean equal records."""
+        combined = 0
         for digest in self._digests:
-            whole ^= digest
-        return whole
+            combined ^= digest
+        return combined
 
-    def packed_in(self, buckets: Iterable[int]) -> list[bytes]:
-        """Packed records in some buckets."""
-        wanted = set(buckets)
-        return [e.packed for host, e in self._entries.items() if _bucket_of(host) in wanted]
+    def records_in(self, buckets: Iterable[int]) -> list[bytes]:
+        """Packed records in the given buckets."""
+        wanted_buckets = set(buckets)
+        return [e.packed for host, e in self._entries.items() if _bucket_of(host) in wanted_buckets]
 
     def packed(self, host: str) -> bytes:
-        """The packed record of a host that is known."""
+        """The packed record of a known host."""
         return self._entries[host].packed
 
     # --- changing -----------------------------------------------------------------------------
 
     def subscribe(self, listener: Callable[[Member | None, Member], None]) -> None:
-        """Call `listener` with every change from now on."""
+        """Call `listener` with the previous and the new record of every change from now on."""
         self._listeners.append(listener)
 
     def on_own_past(self, listener: Callable[[Member], None]) -> None:
-        """Call `listener` with records of this host from before its start, as others have them.
+        """Call `listener` with records of this host's earlier incarnations that others still hold.
 
-        What a daemon promised before it was restarted is known only to the others.
+        After a restart, only the other daemons know what this one had published before.
         """
-        self._past_listeners.append(listener)
+        self._previous_incarnation_listeners.append(listener)
 
     def merge(self, packed: bytes) -> bool:
-        """Take a record that came from elsewhere; true when it was news."""
-        if packed in self._known:
+        """Merge a packed record from another daemon; returns true if the table has changed."""
+        if packed in self._hosts_by_record:
             return False
         try:
             member = MEMBER_CODEC.decode(packed)
@@ -202,62 +208,69 @@
         entry = self._entries.get(member.host)
         if entry is not None and entry.member.age >= member.age:
             return False
-        if entry is None and not member.is_present and self._remembers_all():
+        if entry is None and not member.is_present and self._may_have_dropped():
             return False
         self._store(member, packed)
         return True
 
-    def _remembers_all(self) -> bool:
-        """Whether a gone member that is unknown here must have been forgotten on purpose."""
-        return self._timers.now() - self._started > _REMEMBERED_FOR
+    def _may_have_dropped(self) -> bool:
+        """Whether this daemon has run long enough for records of absent members to expire.
+
+        An absent member that is unknown then has been dropped before, and is not stored again.
+        """
+        return self._timers.now() - self._started > _ABSENT_RETENTION
 
-    def _refute(self, rumour: Member) -> bool:
-        """Answer a record of this daemon that it did not make by a newer one."""
+    def _refute(self, record: Member) -> bool:
+        """Supersede a record of this daemon that it did not publish itself by a newer one."""
         own = self.own
-        if rumour.incarnation < own.incarnation:
-            for listener in self._past_listeners:
-                listener(rumour)
-        if rumour.age <= own.age:
+        if record.incarnation < own.incarnation:
+            for listener in self._previous_incarnation_listeners:
+                listener(record)
+        if record.age <= own.age:
             return False
-        self._change_own(
+        self._update_own(
             own.with_changes(
-                incarnation=max(own.incarnation, rumour.incarnation),
-                sequence=max(own.sequence, rumour.sequence) + 1,
+                incarnation=max(own.incarnation, record.incarnation),
+                sequence=max(own.sequence, record.sequence) + 1,
             )
         )
         return True
 
     def set_targets(self, targets: tuple[TargetInfo, ...]) -> None:
-        """Tell the others of a change of the targets on this host."""
+        """Publish the targets on this host if they have changed."""
         if targets != self.own.targets:
             own = self.own
-            self._change_own(own.with_changes(targets=targets, sequence=own.sequence + 1))
+            self._update_own(own.with_changes(targets=targets, sequence=own.sequence + 1))
 
     def set_fed(self, is_fed: bool) -> None:
-        """Tell the others whether the platform's store answers this daemon."""
+        """Publish whether the platform's store answers this daemon."""
         own = self.own
-        self._change_own(own.with_changes(is_fed=is_fed, sequence=own.sequence + 1))
+        self._update_own(own.with_changes(is_fed=is_fed, sequence=own.sequence + 1))
 
     def set_listed(self) -> None:
-        """Tell the others that the platform's store says where this daemon can be met."""
+        """Publish that the platform's store holds the address of this daemon."""
         own = self.own
         if not own.is_listed:
-            self._change_own(own.with_changes(is_listed=True, sequence=own.sequence + 1))
+            self._update_own(own.with_changes(is_listed=True, sequence=own.sequence + 1))
 
     def set_suspicions(self, suspicions: tuple[Suspicion, ...]) -> None:
-        """Tell the others what was found out here of requests that end targets."""
+        """Publish this daemon's observations of requests that end targets."""
         own = self.own
         if suspicions != own.suspicions:
             changed = own.with_changes(suspicions=suspicions, sequence=own.sequence + 1)
-            self._change_own(changed)
+            self._update_own(changed)
 
     def leave(self) -> None:
-        """Tell the others that this daemon leaves."""
+        """Publish that this daemon leaves."""
         own = self.own
-        self._change_own(own.with_changes(state=MemberState.LEFT, sequence=own.sequence + 1))
+        self._update_own(own.with_changes(state=MemberState.LEFT, sequence=own.sequence + 1))
 
     def believe(self, member: Member, state: MemberState) -> bool:
-        """Change what is believed of a member, unless newer news has come; true when changed."""
+        """Set the state of a member; returns true if it was changed.
+
+        Nothing is changed if `member` is no longer the current record, or if `state` does not
+        supersede its state.
+        """
         entry = self._entries.get(member.host)
         if entry is None or entry.member != member or state <= member.state:
             return False
@@ -265,33 +278,33 @@
         self._store(changed, MEMBER_CODEC.encode(changed))
         return True
 
-    def forget_old(self) -> None:
-        """Drop members that have been gone for long."""
-        horizon = self._timers.now() - _REMEMBERED_FOR
-        gone = [
+    def drop_expired(self) -> None:
+        """Drop the records of members that have been absent for long enough."""
+        oldest = self._timers.now() - _ABSENT_RETENTION
+        expired = [
             host
             for host, entry in self._entries.items()
-            if not entry.member.is_present and entry.since < horizon and host != self._own_host
+            if not entry.member.is_present and entry.stored_at < oldest and host != self._own_host
         ]
-        for host in gone:
+        for host in expired:
             self._remove(host)
 
-    def _change_own(self, own: Member) -> None:
+    def _update_own(self, own: Member) -> None:
         self._store(own, MEMBER_CODEC.encode(own))
 
     def _remove(self, host: str) -> None:
         entry = self._entries.pop(host, None)
         if entry is not None:
             self._digests[_bucket_of(host)] ^= entry.digest
-            self._known.pop(entry.packed, None)
-            self._count(entry.member, -1)
+            self._hosts_by_record.pop(entry.packed, None)
+            self._count_live(entry.member, -1)
             self._present = None
             self._neighbourhood = None
 
-    def _count(self, member: Member, step: int) -> None:
+    def _count_live(self, member: Member, delta: int) -> None:
         if member.is_present:
-            self._present_count += step
-            self._domains[member.domain] += step
+            self._present_count += delta
+            self._domains[member.domain] += delta
             if not self._domains[member.domain]:
                 del self._domains[member.domain]
 
@@ -301,8 +314,8 @@
         digest = int.from_bytes(hashlib.blake2b(packed, digest_size=7).digest(), "big")
         self._entries[member.host] = _Entry(member, packed, digest, self._timers.now())
         self._digests[_bucket_of(member.host)] ^= digest
-        self._known[packed] = member.host
-        self._count(member, 1)
+        self._hosts_by_record[packed] = member.host
+        self._count_live(member, 1)
         self._present = None
         self._neighbourhood = None
         for listener in self._listeners:
--- a/packages/membership/tests/gossip_mesh.py
+++ b/packages/membership/tests/gossip_mesh.py
@@ -1,4 +1,4 @@
-"""Many memberships that know each other from the start, on a network that counts its bytes."""
+"""Many memberships that know each other from the start, on a network that counts bytes."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class CountingNetwork(FakeNetwork):
-    """Counts the bytes of datagrams that leave a failure domain, and of those that do not."""
+    """Counts the bytes of datagrams within failure domains and between them."""
 
     def __init__(self, timers: ManualTimers) -> None:
         super().__init__(timers)
@@ -34,18 +34,18 @@
         self.bytes: Counter[str] = Counter()
 
     def send(self, sender: FakePort, data: bytes, to: Address) -> None:
-        inside = self.domains.get(sender.ip) == self.domains.get(to.ip)
-        self.bytes["inside" if inside else "across"] += len(data)
+        is_local = self.domains.get(sender.ip) == self.domains.get(to.ip)
+        self.bytes["inside" if is_local else "across"] += len(data)
         super().send(sender, data, to)
 
 
 class GossipMesh:
-    """`count` daemons in `domains` failure domains, each of which knows all others.
+    """A mesh of `count` daemons in `domains` failure domains, in which each knows all others.
 
     Example:
         mesh = GossipMesh(tasks, count=195, domains=6, seed=1)
         mesh.change("h7")
-        seconds = await mesh.spread_within(5.0)
+        seconds = await mesh.time_to_spread("h7", 5.0)
     """
 
     def __init__(self, tasks: anyio.abc.TaskGroup, *, count: int, domains: int, seed: int) -> None:
@@ -69,11 +69,11 @@
                 detector=DetectorSettings(),
             )
             tasks.start_soon(port.open, 0, tasks)
-        for known in self.members.values():
+        for daemon in self.members.values():
             for record in records:
-                known.table.merge(MEMBER_CODEC.encode(record))
-            known.forget_news()
-            tasks.start_soon(known.run)
+                daemon.table.merge(MEMBER_CODEC.encode(record))
+            daemon.forget_news()
+            tasks.start_soon(daemon.run)
 
     @staticmethod
     def _record(number: int, domains: int) -> Member:
@@ -92,21 +92,21 @@
         )
 
     def change(self, host: str) -> None:
-        """The target of a host drains."""
+        """Publish a further target on a host."""
         table = self.members[host].table
         targets = tuple(t for t in table.own.targets)
         table.set_targets((*targets, TargetInfo("yeny99a", "i-more", 4)))
 
-    def knowing(self, host: str) -> int:
-        """Daemons that know the newest record of a host."""
+    def count_informed(self, host: str) -> int:
+        """Number of daemons that know the newest record of a host."""
         newest = self.members[host].table.own
         return sum(m.table.find(host) == newest for m in self.members.values())
 
-    async def spread_within(self, host: str, most: float) -> float:
-        """Seconds until all daemons know the newest record of a host, `most` if longer."""
+    async def time_to_spread(self, host: str, limit: float) -> float:
+        """Seconds until all daemons know the newest record of a host, at most about `limit`."""
         started = self.timers.now()
-        while self.timers.now() - started < most:
-            if self.knowing(host) == len(self.members):
+        while self.timers.now() - started < limit:
+            if self.count_informed(host) == len(self.members):
                 break
             await self.timers.advance(0.05)
         return self.timers.now() - started
--- a/packages/membership/tests/test_detector.py
+++ b/packages/membership/tests/test_detector.py
@@ -1,4 +1,4 @@
-"""Failure detection on a network and a clock made for tests."""
+"""Failure detection on a fake network with a manual clock."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
         found = (daemon.members.table.find(host) for daemon in mesh.daemons.values())
         return {member.state for member in found if member is not None}
 
-    def test_lost_datagrams_make_nobody_fail(self) -> None:
+    def test_datagram_loss_marks_no_member_dead(self) -> None:
         async def body(mesh: FakeMesh) -> None:
             mesh.network.lose_every = 5
             await mesh.advance(60)
@@ -36,7 +36,7 @@
 
         self.run_mesh(body)
 
-    def test_restarted_daemon_is_known_by_its_new_incarnation(self) -> None:
+    def test_restarted_daemon_has_a_greater_incarnation(self) -> None:
         async def body(mesh: FakeMesh) -> None:
             old = mesh.daemons["h3"].members.table.own.incarnation
             mesh.kill("h3")
@@ -50,7 +50,7 @@
 
         self.run_mesh(body)
 
-    def test_one_that_is_cut_off_comes_back_with_the_cable(self) -> None:
+    def test_partitioned_daemon_rejoins_after_the_partition_heals(self) -> None:
         async def body(mesh: FakeMesh) -> None:
             mesh.cut_off({"h5"})
             await mesh.advance(30)
@@ -64,7 +64,7 @@
 
         self.run_mesh(body)
 
-    def test_daemon_that_leaves_is_gone_at_once(self) -> None:
+    def test_leaving_daemon_is_marked_left_at_once(self) -> None:
         async def body(mesh: FakeMesh) -> None:
             await mesh.daemons["h2"].members.leave()
             await mesh.advance(1.5)
--- a/packages/membership/tests/test_table.py
+++ b/packages/membership/tests/test_table.py
@@ -1,4 +1,4 @@
-"""Merging what is said of members."""
+"""Merging of member records, the gossip queue and rendezvous hashing."""
 
 from __future__ import annotations
 
@@ -45,28 +45,28 @@
 
     @hypothesis.settings(max_examples=200, deadline=None, derandomize=True)
     @hypothesis.given(strategies.lists(records, max_size=6), strategies.randoms())
-    def test_order_of_arrival_does_not_matter(self, items: list[Member], source: object) -> None:
-        one, other = self.table(), self.table()
+    def test_merge_is_independent_of_order(self, items: list[Member], rng: object) -> None:
+        first, second = self.table(), self.table()
         for data in packed(*items):
-            one.merge(data)
+            first.merge(data)
         shuffled = packed(*items)
-        source.shuffle(shuffled)  # type: ignore[attr-defined]
+        rng.shuffle(shuffled)  # type: ignore[attr-defined]
         for data in itertools.chain(shuffled, shuffled):
-            other.merge(data)
-        self.assertEqual(one.digests(), other.digests())
+            second.merge(data)
+        self.assertEqual(first.digests(), second.digests())
 
-    def test_what_was_said_before_the_own_restart_is_told(self) -> None:
+    def test_records_of_an_earlier_incarnation_are_reported(self) -> None:
         table = MemberTable(member("own", incarnation=5), ManualTimers())
-        heard: list[Member] = []
-        table.on_own_past(heard.append)
+        reported: list[Member] = []
+        table.on_own_past(reported.append)
         leaving = TargetInfo(service="a", name="t1", slots=4, state=TargetState.DRAINING)
         past = member("own", incarnation=4, sequence=9).with_changes(targets=(leaving,))
         for record in (past, member("own", incarnation=5), member("other", incarnation=4)):
             table.merge(*packed(record))
-        self.assertEqual(heard, [past])
+        self.assertEqual(reported, [past])
         self.assertEqual(table.own.incarnation, 5)
 
-    def test_those_that_left_are_looked_for_as_well(self) -> None:
+    def test_gone_since_includes_left_members(self) -> None:
         table = self.table()
         table.merge(*packed(member("left", state=MemberState.LEFT)))
         table.merge(*packed(member("dead", state=MemberState.DEAD)))
@@ -75,14 +75,14 @@
         self.assertEqual(found, {"left", "dead"})
         self.assertEqual([m.host for m in table.lost_since(0.0)], ["dead"])
 
-    def test_rumour_of_the_own_death_is_refuted(self) -> None:
+    def test_own_suspect_or_dead_record_is_refuted(self) -> None:
         table = self.table()
         table.merge(*packed(member("own", state=MemberState.SUSPECT)))
         self.assertEqual((table.own.state, table.own.sequence), (MemberState.ALIVE, 1))
         table.merge(*packed(member("own", incarnation=5, state=MemberState.DEAD)))
         self.assertEqual((table.own.state, table.own.incarnation), (MemberState.ALIVE, 5))
 
-    def test_belief_does_not_overtake_news(self) -> None:
+    def test_state_of_an_outdated_record_is_not_changed(self) -> None:
         table = self.table()
         table.merge(*packed(member("a")))
         old = table.find("a")
@@ -91,21 +91,21 @@
         self.assertFalse(table.believe(old, MemberState.SUSPECT))
         self.assertEqual(len(list(table.others())), 1)
 
-    def test_targets_travel_with_their_member(self) -> None:
+    def test_targets_are_part_of_the_packed_record(self) -> None:
         table = self.table()
         table.set_targets((TargetInfo("novero", "t", 9),))
-        other = MemberTable(member("b"), ManualTimers())
-        self.assertTrue(other.merge(table.packed("own")))
-        found = other.find("own")
+        second = MemberTable(member("b"), ManualTimers())
+        self.assertTrue(second.merge(table.packed("own")))
+        found = second.find("own")
         assert found is not None
         self.assertEqual(found.targets, (TargetInfo("novero", "t", 9),))
 
-    def test_nonsense_is_no_news(self) -> None:
+    def test_invalid_record_is_not_merged(self) -> None:
         self.assertFalse(self.table().merge(b"\xc1"))
 
 
 class GossipTest(unittest.TestCase):
-    def test_news_is_passed_on_a_bounded_number_of_times(self) -> None:
+    def test_updates_are_passed_on_a_bounded_number_of_times(self) -> None:
         table = MemberTable(member("own"), ManualTimers())
         queue = GossipQueue(table, random.Random(1))
         for number in range(50):
@@ -118,10 +118,10 @@
 
 
 class RendezvousTest(unittest.TestCase):
-    def test_choice_moves_only_where_a_chosen_one_goes(self) -> None:
+    def test_choice_changes_only_when_a_chosen_member_is_removed(self) -> None:
         members = [member(f"h{n}") for n in range(50)]
-        chosen = rendezvous("p", members, 2)
-        for gone in members:
-            left = rendezvous("p", [m for m in members if m != gone], 2)
-            if gone not in chosen:
-                self.assertEqual(left, chosen)
+        choice = rendezvous("p", members, 2)
+        for removed in members:
+            remaining = rendezvous("p", [m for m in members if m != removed], 2)
+            if removed not in choice:
+                self.assertEqual(remaining, choice)
