--- a/packages/admission/src/acaciayard_admission/_local.py
+++ b/packages/admission/src/acaciayard_admission/_local.py
@@ -363,7 +363,7 @@
             length=length,
             ends_by_close=head.framing is Framing.UNTIL_CLOSE,
             trailers=end.trailers,
-            lacks_inner=lacks_inner,
+            is_nested_failure=lacks_inner,
         )
 
     async def _read_whole(self) -> tuple[bytes, End]:
--- a/packages/callmodel/src/acaciayard_callmodel/_call.py
+++ b/packages/callmodel/src/acaciayard_callmodel/_call.py
@@ -115,7 +115,7 @@
     trailers: Headers = ()
     #: Whether it is a failure caused by a nested call that was refused or lost.  Such a failure is
     #: no evidence against the target or the version of its software.
-    lacks_inner: bool = False
+    is_nested_failure: bool = False
 
 
 @frozen
--- a/packages/calls/src/acaciayard_calls/_attempt.py
+++ b/packages/calls/src/acaciayard_calls/_attempt.py
@@ -57,7 +57,7 @@
     def _end_run(self, run: RolloutRun, outcome: Answer | NotRun | OutcomeUnknown) -> None:
         """Report the outcome to the rollout as success, failure, refusal or no evidence."""
         match outcome:
-            case Answer(lacks_inner=True):
+            case Answer(is_nested_failure=True):
                 run.end_untold()  # caused by the failure of another service
             case Answer(status=status):
                 run.end(is_bad=status >= 500)
--- a/packages/calls/src/acaciayard_calls/_intake.py
+++ b/packages/calls/src/acaciayard_calls/_intake.py
@@ -73,7 +73,7 @@
     targets: LocalTargets
     timers: TimerService
     #: Estimates when the caller of a call first sent it.
-    first_asked: FirstRequestEstimator
+    first_request_estimator: FirstRequestEstimator
     #: Size limits of requests.
     limits: Limits
     #: Returns why no calls are served, or an empty string if they are.
@@ -85,9 +85,9 @@
     #: Value of the header that names the service of this host, if the dialect has one.
     origin: bytes = b""
     #: Largest body in bytes that is buffered, so that the call can be offered to a second host.
-    largest_held_body: int = LARGEST_WHOLE_BODY
+    max_buffered_body: int = LARGEST_WHOLE_BODY
     #: Whether bodies of unknown length are buffered as well, up to that size.
-    holds_chunked: bool = False
+    buffers_chunked: bool = False
     #: Seconds for which a connection may wait for its next request.
     idle_for: float = 75.0
     #: Receives the outcome of each call.
@@ -132,8 +132,8 @@
     """Whether the body of a request is buffered before the call is made."""
     length = length_of(head)
     if length == UNKNOWN_LENGTH:
-        return context.holds_chunked
-    return length <= context.largest_held_body
+        return context.buffers_chunked
+    return length <= context.max_buffered_body
 
 
 def call_of(
--- a/packages/calls/src/acaciayard_calls/_request_runs.py
+++ b/packages/calls/src/acaciayard_calls/_request_runs.py
@@ -197,7 +197,8 @@
         started = request.started
         caller_timeout = requested_timeout(request.head, self._context)
         first_asked = min(
-            started, self._context.first_asked.of(plan.route.name, timeout=caller_timeout)
+            started,
+            self._context.first_request_estimator.of(plan.route.name, timeout=caller_timeout),
         )
         if first_asked < started:
             request.ended.age_ms = round((started - first_asked) * 1000, 1)
@@ -213,8 +214,8 @@
                 case BodyPart(data):
                     parts.append(data)
                     size += len(data)
-                    if size > self._context.largest_held_body:
-                        most = self._context.largest_held_body
+                    if size > self._context.max_buffered_body:
+                        most = self._context.max_buffered_body
                         raise HttpError(413, f"a body without a length may have {most} bytes")
                 case End():
                     return b"".join(parts)
@@ -260,7 +261,7 @@
         is_barred = isinstance(outcome, NotRun) and outcome.is_barred
         is_good = isinstance(outcome, Answered) and outcome.answer.status < 500
         if not (is_good or is_barred):  # barred requests say nothing about how callers retry
-            self._context.first_asked.note_failure(plan.route.name)
+            self._context.first_request_estimator.note_failure(plan.route.name)
         if not is_good and request.parent is not None:
             self._context.targets.note_inner_lost(request.parent)
         match outcome:
--- a/packages/calls/tests/load_exchange.py
+++ b/packages/calls/tests/load_exchange.py
@@ -119,7 +119,7 @@
             return OutcomeUnknown("the target gave no whole answer: reset")
         self._mesh.answers += 1
         self._mesh.crossed += self._link == DOMAIN_LINK
-        return Answer(status, b"", b"", True, 0, lacks_inner=status >= 500)
+        return Answer(status, b"", b"", True, 0, is_nested_failure=status >= 500)
 
     def _tell_load(self) -> None:
         self.load = self._there.gate.load
--- a/packages/calls/tests/test_inner_failures.py
+++ b/packages/calls/tests/test_inner_failures.py
@@ -29,8 +29,8 @@
 )
 
 
-def failed(*, lacks_inner: bool) -> Answer:
-    return Answer(500, b"", b"", True, 0, lacks_inner=lacks_inner)
+def failed(*, is_nested_failure: bool) -> Answer:
+    return Answer(500, b"", b"", True, 0, is_nested_failure=is_nested_failure)
 
 
 class _Run(RolloutRun):
@@ -108,7 +108,7 @@
         for entry_beside in (True, False):
             with self.subTest(entry_beside=entry_beside):
                 found, _ = self.outcome(inner="/inner", entry_beside=entry_beside)
-                self.assertEqual((found.status, found.lacks_inner), (500, True))
+                self.assertEqual((found.status, found.is_nested_failure), (500, True))
 
     def test_host_is_not_blamed_for_it(self) -> None:
         _, attempt = self.outcome(inner="/inner", entry_beside=False)
@@ -117,20 +117,20 @@
     def test_target_that_fails_by_itself_is_blamed(self) -> None:
         """Its inner call has no route: that is a fault of its own."""
         found, attempt = self.outcome(inner="/unknown", entry_beside=False)
-        self.assertEqual((found.status, found.lacks_inner), (500, False))
+        self.assertEqual((found.status, found.is_nested_failure), (500, False))
         self.assertGreater(attempt.candidate.failure_share, 0.0)
 
     def test_served_inner_call_leaves_no_mark(self) -> None:
         found, _ = self.outcome(inner="/good", entry_beside=False)
-        self.assertEqual((found.status, found.lacks_inner), (200, False))
+        self.assertEqual((found.status, found.is_nested_failure), (200, False))
 
     def test_version_on_trial_is_told_nothing_of_it(self) -> None:
-        for lacks_inner, told in ((True, "nothing"), (False, "bad")):
+        for is_nested_failure, told in ((True, "nothing"), (False, "bad")):
             _, attempt = self.outcome(inner="/good", entry_beside=True)
             run = _Run()
             attempt._run = run
             attempt._ended = False
-            attempt.end(failed(lacks_inner=lacks_inner))
+            attempt.end(failed(is_nested_failure=is_nested_failure))
             self.assertEqual(run.told, [told])
 
 
--- a/packages/calls/tests/test_pipelined_streams.py
+++ b/packages/calls/tests/test_pipelined_streams.py
@@ -226,10 +226,10 @@
             levels=ServiceLevels(timers),
             targets=NoTargets(),  # type: ignore[arg-type]
             timers=timers,
-            first_asked=FirstRequestEstimator(timers),
+            first_request_estimator=FirstRequestEstimator(timers),
             limits=Limits(),
             not_serving=lambda: "",
-            holds_chunked=True,
+            buffers_chunked=True,
             tasks=tasks,
         )
         context.router = ROUTES
--- a/packages/handover/src/acaciayard_handover/_remote.py
+++ b/packages/handover/src/acaciayard_handover/_remote.py
@@ -273,7 +273,7 @@
             length=head.length,
             ends_by_close=head.ends_by_close,
             trailers=unflatten(head.trailers),
-            lacks_inner=head.lacks_inner,
+            is_nested_failure=head.lacks_inner,
         )
         if head.is_whole:
             self._release(reuse=self._body_sent)
--- a/packages/handover/src/acaciayard_handover/_server.py
+++ b/packages/handover/src/acaciayard_handover/_server.py
@@ -387,5 +387,5 @@
         trailers=flatten(answer.trailers),
         load=exchange.load,
         pace=exchange.pace,
-        lacks_inner=answer.lacks_inner,
+        lacks_inner=answer.is_nested_failure,
     )
--- a/packages/hosted/src/acaciayard_hosted/_build.py
+++ b/packages/hosted/src/acaciayard_hosted/_build.py
@@ -385,8 +385,8 @@
             not_serving=lambda: "",
             dialect=self._platform.dialect,
             origin=settings.service.encode(),
-            largest_held_body=_LARGEST_HELD_BODY,
-            holds_chunked=True,
+            max_buffered_body=_LARGEST_HELD_BODY,
+            buffers_chunked=True,
             events=self._calls_log,
             caps=caps.caps,
         )
--- a/packages/routing/src/acaciayard_routing/_picker.py
+++ b/packages/routing/src/acaciayard_routing/_picker.py
@@ -316,7 +316,7 @@
             case NotRun(is_by_target=True):
                 # It may refuse calls of one kind alone, such as long uploads: no cause to eject it.
                 self._note_share(candidate, now)
-            case NotRun(is_overload=True) | NotRun(is_barred=True) | Answer(lacks_inner=True):
+            case NotRun(is_overload=True) | NotRun(is_barred=True) | Answer(is_nested_failure=True):
                 return
             case NotRun() | OutcomeUnknown(is_silent=True):
                 self._failed(candidate, now, weight=_FAILURES_TO_EJECT)
