--- a/packages/routing/src/acaciayard_routing/_picker.py
+++ b/packages/routing/src/acaciayard_routing/_picker.py
@@ -325,7 +325,7 @@
                 # The target may refuse only one kind of call, such as long uploads: no reason to
                 # eject the host.
                 self._record_failure_share(candidate, now)
-            case NotRun(is_overload=True) | NotRun(is_barred=True) | Answer(lacks_inner=True):
+            case NotRun(is_overload=True) | NotRun(is_barred=True) | Answer(is_nested_failure=True):
                 return
             case NotRun() | OutcomeUnknown(is_silent=True):
                 self._record_failure(candidate, now, weight=_FAILURES_TO_EJECT)
