--- a/packages/admission/src/acaciayard_admission/__init__.py
+++ b/packages/admission/src/acaciayard_admission/__init__.py
@@ -1,8 +1,8 @@
-"""Admission at a target: its slots, its queue, what it says of itself, and calls that reach it."""
+"""Admission control at a target: its slots, its queue, its announcements, and calls sent to it."""
 
 from ._budgets import CallerLimiter, RetryBudgets, SharedRetryBudgets, retry_after_header
 from ._gate import Gate, Reservation, SlotHeld
-from ._line_shares import GatePolicy
+from ._level_shares import GatePolicy
 from ._local import LocalExchange
 from ._suspects import ENDS_TO_BAR, SuspectNews, Suspects
 from ._target import Announcement, CallAtWork, LocalTarget
--- a/packages/admission/src/acaciayard_admission/_budgets.py
+++ b/packages/admission/src/acaciayard_admission/_budgets.py
@@ -1,4 +1,4 @@
-"""Budgets: how many retries a service stands, and how much one caller may ask for."""
+"""Retry budgets per service, and rate and concurrency limits per caller."""
 
 from __future__ import annotations
 
@@ -14,72 +14,74 @@
 
 __all__ = ["CallerLimiter", "RetryBudgets", "SharedRetryBudgets", "retry_after_header"]
 
-#: Retries that a service may have saved up.
-_MOST_SAVED: Final = 10.0
-#: Retries that a service may make before any call has paid for them.
-_SAVED_AT_FIRST: Final = 3.0
-#: Part of a shared budget that daemons use: they do not hear of each other at the same moment, and
-#: a repeat that was sent may arrive in a later window than the calls that paid for it; and calls
-#: made by repeats count as repeats of the service that they go to, on top of its own.  With 0.8 one
-#: hunted day in forty went over a budget by a tenth.
-_USED_PART: Final = 0.6
-#: Repeats that a daemon may have earned and not used.
-_MOST_EARNED: Final = 20.0
-#: Callers without calls under way that are remembered.
-_IDLE_CALLERS: Final = 10_000
-#: Bounds of what a refused caller is told to wait, in seconds.
-_RETRY_AFTER: Final = (0.05, 60.0)
+#: Maximum number of saved retries of a service.
+_MAX_SAVED_RETRIES: Final = 10.0
+#: Initial number of saved retries of a service.
+_INITIAL_SAVED_RETRIES: Final = 3.0
+#: Share of a shared budget that the daemons use.  The rest is a margin: daemons learn of each other
+#: at different times, a retry may arrive in a later window than the calls that earned it, and calls
+#: made by retries count as retries of their own service as well.  With 0.8, one simulated day in
+#: forty exceeded a budget by a tenth.
+_USED_SHARE: Final = 0.6
+#: Maximum number of retries that a daemon has earned and not yet made.
+_MAX_EARNED_RETRIES: Final = 20.0
+#: Number of callers above which those without calls in flight are forgotten.
+_MAX_REMEMBERED_CALLERS: Final = 10_000
+#: Bounds of the retry delay given to a refused caller.
+_RETRY_AFTER_SECONDS: Final = (0.05, 60.0)
 
 
 class RetryBudgets:
-    """Every call to a service pays a part of a retry; a retry costs a whole one.
+    """Retry budgets of one daemon, as token buckets by service.
 
-    While most calls succeed there is always enough; when most fail, retries add no more than the
-    share set by the policy.
+    Every call to a service adds a fraction of a token, and a retry takes a whole token.  While most
+    calls succeed, retries are always possible; when most fail, they add at most the share of calls
+    set by the policy.
     """
 
     def __init__(self) -> None:
         self._saved: dict[str, float] = {}
 
     def pay_in(self, service: str, percent: float) -> None:
-        """Count a call, of which `percent` of a retry may be made."""
-        saved = self._saved.get(service, _SAVED_AT_FIRST)
-        self._saved[service] = min(_MOST_SAVED, saved + percent / 100)
+        """Count a call, which earns `percent` hundredths of a retry."""
+        saved = self._saved.get(service, _INITIAL_SAVED_RETRIES)
+        self._saved[service] = min(_MAX_SAVED_RETRIES, saved + percent / 100)
 
     def take(self, service: str) -> bool:
-        """Take one retry; false when there is none."""
-        saved = self._saved.get(service, _SAVED_AT_FIRST)
+        """Take one retry from the budget; return false if it is used up."""
+        saved = self._saved.get(service, _INITIAL_SAVED_RETRIES)
         if saved < 1:
             return False
         self._saved[service] = saved - 1
         return True
 
     def charge(self, service: str) -> None:
-        """Count a repeat that cannot be held back: a call made by a run that was a repeat."""
-        saved = self._saved.get(service, _SAVED_AT_FIRST)
-        self._saved[service] = max(-_MOST_SAVED, saved - 1)
+        """Count a retry that cannot be prevented: a nested call made by a retry of another call."""
+        saved = self._saved.get(service, _INITIAL_SAVED_RETRIES)
+        self._saved[service] = max(-_MAX_SAVED_RETRIES, saved - 1)
 
     def give_back(self, service: str) -> None:
-        """Return a retry that was taken and not made."""
-        saved = self._saved.get(service, _SAVED_AT_FIRST)
-        self._saved[service] = min(_MOST_SAVED, saved + 1)
+        """Put back a retry that was taken and not made."""
+        saved = self._saved.get(service, _INITIAL_SAVED_RETRIES)
+        self._saved[service] = min(_MAX_SAVED_RETRIES, saved + 1)
 
 
 @define
 class _Share:
-    #: Repeats earned by calls of this daemon.
+    #: Retries earned by calls of this daemon.
     earned: float = 0.0
-    #: Repeats left of this daemon's part of the slack.
+    #: Retries left of this daemon's part of the slack.
     slack: float = 0.0
-    counted_at: float = 0.0
+    refilled_at: float = 0.0
 
 
 class SharedRetryBudgets(RetryBudgets):
-    """A part of budgets that all daemons of a mesh share, without a word between them.
+    """One daemon's part of retry budgets that all daemons of a mesh share without communicating.
 
-    Together they may repeat `ratio` per call of a service and `slack` besides in any `window`
-    seconds.  Each daemon earns by its own calls, and gets an equal part of the slack: half of it at
-    once and half over the window, since a window may begin just before the saved half is spent.
+    In any `window` seconds all daemons together may make `ratio` retries per call of a service and
+    `slack` additional ones.  Each daemon earns retries by its own calls and gets an equal part of
+    the slack: half of it at once and half over the window, since a window may begin just before the
+    saved half is spent.
     """
 
     def __init__(
@@ -92,8 +94,8 @@
         timers: TimerService,
     ) -> None:
         super().__init__()
-        self._ratio = ratio * _USED_PART
-        self._slack = slack * _USED_PART / 2
+        self._ratio = ratio * _USED_SHARE
+        self._slack = slack * _USED_SHARE / 2
         self._window = window
         self._members = members
         self._timers = timers
@@ -104,19 +106,19 @@
         part = self._slack / max(1, self._members())
         share = self._shares.get(service)
         if share is None:
-            share = self._shares[service] = _Share(slack=part, counted_at=now)
-        share.slack = min(part, share.slack + part * (now - share.counted_at) / self._window)
-        share.counted_at = now
+            share = self._shares[service] = _Share(slack=part, refilled_at=now)
+        share.slack = min(part, share.slack + part * (now - share.refilled_at) / self._window)
+        share.refilled_at = now
         return share
 
     def pay_in(self, service: str, percent: float) -> None:
-        """Count a call of the service; `percent` is the route's own policy and may ask for less."""
+        """Count a call; `percent` is the policy of its route, which may allow fewer retries."""
         share = self._share_of(service)
         earned = min(self._ratio, percent / 100)
-        share.earned = min(_MOST_EARNED, share.earned + earned)
+        share.earned = min(_MAX_EARNED_RETRIES, share.earned + earned)
 
     def take(self, service: str) -> bool:
-        """Take one repeat; false when there is none."""
+        """Take one retry from the budget; return false if it is used up."""
         share = self._share_of(service)
         if share.earned >= 1:
             share.earned -= 1
@@ -127,71 +129,71 @@
         return False
 
     def charge(self, service: str) -> None:
-        """Count a repeat that cannot be held back: a call made by a run that was a repeat."""
+        """Count a retry that cannot be prevented: a nested call made by a retry of another call."""
         share = self._share_of(service)
-        share.earned = max(-_MOST_EARNED, share.earned - 1)
+        share.earned = max(-_MAX_EARNED_RETRIES, share.earned - 1)
 
     def give_back(self, service: str) -> None:
-        """Return a repeat that was taken and not made."""
+        """Put back a retry that was taken and not made."""
         share = self._share_of(service)
-        share.earned = min(_MOST_EARNED, share.earned + 1)
+        share.earned = min(_MAX_EARNED_RETRIES, share.earned + 1)
 
 
 @define
-class _Account:
+class _CallerBucket:
     tokens: float
-    counted_at: float
+    refilled_at: float
     concurrent: int = 0
 
 
 class CallerLimiter:
-    """Token buckets and counts of open calls, by caller."""
+    """Limits the call rate, by token buckets, and the concurrent calls of each caller."""
 
     def __init__(self, timers: TimerService) -> None:
         self._timers = timers
-        self._accounts: dict[str, _Account] = {}
+        self._buckets: dict[str, _CallerBucket] = {}
 
     def enter(self, caller: str, configuration: Configuration) -> NotRun | None:
-        """Count a call in, or refuse it; `leave` must follow unless it was refused."""
+        """Admit or refuse a call; `leave` must follow unless the call was refused."""
         limit = configuration.find(CallerLimit, caller)
         if limit is None:
             return None
-        account = self._account(limit)
-        least, most = _RETRY_AFTER
-        if account.concurrent >= limit.concurrent:
+        bucket = self._bucket(limit)
+        shortest, longest = _RETRY_AFTER_SECONDS
+        if bucket.concurrent >= limit.concurrent:
             reason = f"{caller!r} has {limit.concurrent} calls open already"
-            return NotRun(reason, least, is_overload=True)
-        if account.tokens < 1:
-            wait = (1 - account.tokens) / limit.calls_per_second
+            return NotRun(reason, shortest, is_overload=True)
+        if bucket.tokens < 1:
+            wait = (1 - bucket.tokens) / limit.calls_per_second
             reason = f"{caller!r} asks for more than {limit.calls_per_second:g} calls a second"
-            return NotRun(reason, min(max(wait, least), most), is_overload=True)
-        account.tokens -= 1
-        account.concurrent += 1
+            return NotRun(reason, min(max(wait, shortest), longest), is_overload=True)
+        bucket.tokens -= 1
+        bucket.concurrent += 1
         return None
 
     def leave(self, caller: str) -> None:
-        """Count a call out."""
-        account = self._accounts.get(caller)
-        if account is not None:
-            account.concurrent = max(0, account.concurrent - 1)
+        """Record that an admitted call has ended."""
+        bucket = self._buckets.get(caller)
+        if bucket is not None:
+            bucket.concurrent = max(0, bucket.concurrent - 1)
 
-    def _account(self, limit: CallerLimit) -> _Account:
+    def _bucket(self, limit: CallerLimit) -> _CallerBucket:
         now = self._timers.now()
-        account = self._accounts.get(limit.name)
-        if account is None:
-            if len(self._accounts) >= _IDLE_CALLERS:
+        bucket = self._buckets.get(limit.name)
+        if bucket is None:
+            if len(self._buckets) >= _MAX_REMEMBERED_CALLERS:
                 self._forget_idle()
-            account = self._accounts[limit.name] = _Account(limit.burst, now)
-        earned = (now - account.counted_at) * limit.calls_per_second
-        account.tokens = min(limit.burst, account.tokens + earned)
-        account.counted_at = now
-        return account
+            bucket = self._buckets[limit.name] = _CallerBucket(limit.burst, now)
+        refill = (now - bucket.refilled_at) * limit.calls_per_second
+        bucket.tokens = min(limit.burst, bucket.tokens + refill)
+        bucket.refilled_at = now
+        return bucket
 
     def _forget_idle(self) -> None:
-        busy = {name: a for name, a in self._accounts.items() if a.concurrent}
-        self._accounts = busy
+        busy = {name: a for name, a in self._buckets.items() if a.concurrent}
+        self._buckets = busy
 
 
 def retry_after_header(seconds: float) -> bytes:
-    """The value of `Retry-After`, which knows whole seconds only."""
+    """Return the value of a `Retry-After` header, which has a resolution of one second."""
     return b"%d" % max(1, math.ceil(seconds))
--- a/packages/admission/src/acaciayard_admission/_fair_queue.py
+++ b/packages/admission/src/acaciayard_admission/_fair_queue.py
@@ -1,4 +1,4 @@
-"""Calls of one class that wait for a slot, in turns by the workspaces that they are made for."""
+"""Fair queueing of the waiting calls of one priority level by workspace."""
 
 from __future__ import annotations
 
@@ -7,45 +7,45 @@
 
 from attrs import define, field
 
-__all__ = ["FairQueue", "Waiting"]
+__all__ = ["FairQueue", "QueuedCall"]
 
-#: Weight of the latest call in the mean time that a call of a workspace takes.
+#: Weight of the latest call in the moving average of the call durations of a workspace.
 _SMOOTHING: Final = 0.2
-#: Workspaces whose mean time is remembered while none of their calls wait.
-_MOST_REMEMBERED: Final = 256
+#: Maximum number of workspaces whose mean call duration is remembered.
+_MAX_REMEMBERED_MEANS: Final = 256
 
 
-class Waiting(Protocol):
-    """What waits."""
+class QueuedCall(Protocol):
+    """A call that can be queued."""
 
     @property
     def workspace(self) -> str:
-        """The workspace that it is made for, empty for none."""
+        """The workspace that the call is made for; empty for none."""
 
 
-_W = TypeVar("_W", bound=Waiting)
+_W = TypeVar("_W", bound=QueuedCall)
 
 
 @define(eq=False)
-class _Line(Generic[_W]):
-    """The calls of one workspace that wait, first come first."""
+class _Flow(Generic[_W]):
+    """The waiting calls of one workspace, in order of arrival."""
 
-    #: The calls.
+    #: The waiting calls.
     calls: deque[_W] = field(factory=deque)
-    #: Work at which its first call starts, on the clock that all lines share.
-    starts_at: float = 0.0
+    #: Virtual time at which its first call starts.
+    virtual_start: float = 0.0
 
 
 class FairQueue(Generic[_W]):
-    """Gives workspaces their turns by work, and serves each in the order in which its calls came.
+    """A queue that shares slot time fairly among workspaces, first in, first out within each.
 
-    Each line has a place on a clock that counts work: its first call stands where its last one that
-    was served ends, and the one that stands first is next (start-time fair queueing).  A workspace
-    that asks far more than the others waits behind itself; one that asks little passes by.  With
-    one workspace, or none, it is a plain queue.
+    Uses start-time fair queueing.  Virtual time counts work: the first call of a flow starts at the
+    virtual time at which the previous call of the flow finishes, and the flow with the earliest
+    start is next.  Calls of a workspace with many requests thus wait behind each other and not in
+    front of other workspaces.  With at most one workspace it is a plain FIFO queue.
 
-    State is kept for workspaces with calls that wait; a line that was empty for a while starts at
-    the present, so that nobody saves up turns.
+    A flow exists while calls of its workspace wait.  A workspace that returns after an idle period
+    starts at the current virtual time, so that it gains no turns by being idle.
 
     Example:
         queue.append(waiter)
@@ -53,92 +53,96 @@
     """
 
     def __init__(self) -> None:
-        self._lines: dict[str, _Line[_W]] = {}
-        self._seconds: dict[str, float] = {}
-        self._clock = 0.0
-        self._ends: dict[str, float] = {}
-        self._count = 0
+        self._flows: dict[str, _Flow[_W]] = {}
+        self._mean_seconds: dict[str, float] = {}
+        self._virtual_time = 0.0
+        self._virtual_finishes: dict[str, float] = {}
+        self._length = 0
 
     def __len__(self) -> int:
-        return self._count
+        return self._length
 
     @property
     def workspaces(self) -> int:
-        """Workspaces with calls that wait."""
-        return len(self._lines)
+        """Number of workspaces with waiting calls."""
+        return len(self._flows)
 
     def __contains__(self, call: object) -> bool:
-        return any(call in line.calls for line in self._lines.values())
+        return any(call in flow.calls for flow in self._flows.values())
 
     def append(self, call: _W) -> None:
-        """One more call waits."""
-        line = self._lines.get(call.workspace)
-        if line is None:
-            starts_at = max(self._clock, self._ends.pop(call.workspace, 0.0))
-            line = self._lines[call.workspace] = _Line(starts_at=starts_at)
-        line.calls.append(call)
-        self._count += 1
+        """Add a call to the flow of its workspace."""
+        flow = self._flows.get(call.workspace)
+        if flow is None:
+            virtual_start = max(self._virtual_time, self._virtual_finishes.pop(call.workspace, 0.0))
+            flow = self._flows[call.workspace] = _Flow(virtual_start=virtual_start)
+        flow.calls.append(call)
+        self._length += 1
 
     def popleft(self, *, seconds: float) -> _W:
-        """The next call; `seconds` is what calls here usually take."""
+        """Remove and return the next call; `seconds` is the mean call duration in this queue."""
         workspace = self._next()
-        line = self._lines[workspace]
-        self._clock = line.starts_at
-        line.starts_at += self._seconds.get(workspace, seconds)
-        call = line.calls.popleft()
-        self._took_out(workspace, line)
+        flow = self._flows[workspace]
+        self._virtual_time = flow.virtual_start
+        flow.virtual_start += self._mean_seconds.get(workspace, seconds)
+        call = flow.calls.popleft()
+        self._after_removal(workspace, flow)
         return call
 
     def pop(self) -> _W:
-        """The last call of the workspace with the most that wait, for others to have its place."""
-        workspace = max(self._lines, key=lambda name: len(self._lines[name].calls))
-        line = self._lines[workspace]
-        call = line.calls.pop()
-        self._took_out(workspace, line)
+        """Remove and return the last call of the workspace with the most waiting calls."""
+        workspace = max(self._flows, key=lambda name: len(self._flows[name].calls))
+        flow = self._flows[workspace]
+        call = flow.calls.pop()
+        self._after_removal(workspace, flow)
         return call
 
     def remove(self, call: _W) -> None:
-        """The call waits no more; raises `ValueError` where it did not."""
-        line = self._lines.get(call.workspace)
-        if line is None:
-            raise ValueError("the call does not wait here")
-        line.calls.remove(call)
-        self._took_out(call.workspace, line)
+        """Remove a call; raises `ValueError` if it is not in the queue."""
+        flow = self._flows.get(call.workspace)
+        if flow is None:
+            raise ValueError("the call is not in the queue")
+        flow.calls.remove(call)
+        self._after_removal(call.workspace, flow)
 
     def ahead_of(self, workspace: str) -> int:
-        """Calls that will be served before one more of a workspace.
+        """Return how many calls are served before another call of a workspace.
 
-        Between any two calls of its own each other workspace gets one turn.
+        This assumes that each other workspace gets one turn between two calls of this workspace.
         """
-        if len(self._lines) <= 1 and workspace in self._lines:
-            return self._count
-        own = self._lines.get(workspace)
+        if len(self._flows) <= 1 and workspace in self._flows:
+            return self._length
+        own = self._flows.get(workspace)
         turns = len(own.calls) + 1 if own is not None else 1
         others = (
-            min(len(line.calls), turns) for name, line in self._lines.items() if name != workspace
+            min(len(flow.calls), turns) for name, flow in self._flows.items() if name != workspace
         )
         return turns - 1 + sum(others)
 
-    def note_took(self, workspace: str, seconds: float) -> None:
-        """A call of a workspace has held its slot for so long."""
+    def note_duration(self, workspace: str, seconds: float) -> None:
+        """Record for how long a call of a workspace has occupied its slot."""
         if not workspace:
             return
-        usual = self._seconds.pop(workspace, seconds)
-        self._seconds[workspace] = usual + _SMOOTHING * (seconds - usual)
-        if len(self._seconds) > _MOST_REMEMBERED:
-            del self._seconds[next(iter(self._seconds))]
+        previous_mean = self._mean_seconds.pop(workspace, seconds)
+        self._mean_seconds[workspace] = previous_mean + _SMOOTHING * (seconds - previous_mean)
+        if len(self._mean_seconds) > _MAX_REMEMBERED_MEANS:
+            del self._mean_seconds[next(iter(self._mean_seconds))]
 
     def _next(self) -> str:
-        if len(self._lines) == 1:
-            return next(iter(self._lines))
-        return min(self._lines, key=lambda name: self._lines[name].starts_at)
+        if len(self._flows) == 1:
+            return next(iter(self._flows))
+        return min(self._flows, key=lambda name: self._flows[name].virtual_start)
 
-    def _took_out(self, workspace: str, line: _Line[_W]) -> None:
-        self._count -= 1
-        if line.calls:
+    def _after_removal(self, workspace: str, flow: _Flow[_W]) -> None:
+        self._length -= 1
+        if flow.calls:
             return
-        del self._lines[workspace]
-        if line.starts_at <= self._clock or not workspace:
+        del self._flows[workspace]
+        if flow.virtual_start <= self._virtual_time or not workspace:
             return
-        self._ends = {name: ends for name, ends in self._ends.items() if ends > self._clock}
-        self._ends[workspace] = line.starts_at
+        self._virtual_finishes = {
+            name: finish
+            for name, finish in self._virtual_finishes.items()
+            if finish > self._virtual_time
+        }
+        self._virtual_finishes[workspace] = flow.virtual_start
--- a/packages/admission/src/acaciayard_admission/_gate.py
+++ b/packages/admission/src/acaciayard_admission/_gate.py
@@ -1,6 +1,6 @@
-"""Decides which calls a target gets, when, and which are refused at once.
+"""Admission control for a target: which calls it gets, when, and which are refused at once.
 
-The daemon beside a target is the only one that sends it calls, so it knows how many run.  What it
+Only the daemon on the same host sends calls to a target, so it knows how many run.  A call that it
 refuses has certainly not run.
 """
 
@@ -16,27 +16,27 @@
 from acaciayard_timers import TimerService
 
 from ._fair_queue import FairQueue
-from ._line_shares import INNER, LINES, GatePolicy, LineShares, line_of
+from ._level_shares import INNER_LEVEL, LEVELS, GatePolicy, LevelShares, level_of
 
 __all__ = ["Gate", "Reservation", "SlotHeld"]
 
-#: Part of the queue that each class has for itself, as a divisor.
+#: Divisor of the queue length that gives the places reserved for each priority level.
 _RESERVE_DIVISOR: Final = 8
-#: Weight of the latest call in the mean time that a call takes.
+#: Weight of the latest call in the moving average of call durations.
 _SMOOTHING: Final = 0.1
-#: Seconds that a call is taken to need before any has ended.
-_FIRST_GUESS: Final = 0.05
-#: Bounds of what a refused caller is told to wait, in seconds.
-_RETRY_AFTER: Final = (0.03, 30.0)
-#: Seconds that a caller is told to wait when a target leaves; another host can answer at once.
-_LEAVING_RETRY_AFTER: Final = 0.1
+#: Assumed mean duration of a call before any call has ended.
+_INITIAL_MEAN_SECONDS: Final = 0.05
+#: Bounds of the retry delay given to a refused caller.
+_RETRY_AFTER_SECONDS: Final = (0.03, 30.0)
+#: Retry delay when a target is closed; short, since another host can answer at once.
+_CLOSED_RETRY_AFTER_SECONDS: Final = 0.1
 
 
 @define(eq=False)
 class _Waiter:
-    """A call that waits for a slot."""
+    """A call that waits in the queue for a slot."""
 
-    line: int
+    level: int
     workspace: str
     deadline: float
     event: anyio.Event
@@ -46,22 +46,22 @@
 
 @define(eq=False)
 class SlotHeld:
-    """A slot that a call occupies; must be released once."""
+    """A slot that a call occupies; the owner must release it."""
 
-    #: Line of the call, whether it had to wait in it or not.
-    line: int
-    #: Workspace that it is made for, empty for none.
+    #: Priority level of the call.
+    level: int
+    #: Workspace that the call is made for; empty for none.
     workspace: str
-    #: When the slot was taken.
+    #: When the slot was occupied.
     since: float
     _gate: Gate
     _released: bool = False
 
     def release(self, *, is_good: bool = True) -> None:
-        """Give the slot back; harmless when done twice.
+        """Release the slot; further calls have no effect.
 
-        `is_good` tells whether the target did the work: what it refuses or fails at once says
-        nothing of how long its work takes.
+        `is_good` is false if the target refused or failed the call: the duration of such a call
+        says nothing about how long its work takes.
         """
         if not self._released:
             self._released = True
@@ -70,27 +70,28 @@
 
 @define(eq=False)
 class Reservation:
-    """Room for a call whose body is still on its way; must be ended once."""
+    """A reserved place for a call whose body is still arriving; the owner must end it."""
 
-    #: Line of the call.
-    line: int
+    #: Priority level of the call.
+    level: int
     _gate: Gate
     _ended: bool = False
 
     def end(self) -> None:
-        """The body is here, or will never come; harmless when done twice."""
+        """End the reservation, once the body has arrived or is lost; idempotent."""
         if not self._ended:
             self._ended = True
-            self._gate._reserved[self.line] -= 1
+            self._gate._reserved[self.level] -= 1
 
 
 class Gate:
     """The slots and the bounded queue of one target.
 
-    Classes share the slots: the lowest one may hold two thirds of them, the middle one all but
-    one, so that a call of a higher class never finds all of them taken for long.  While several
-    lines wait they get the slots' time by fixed parts, so that none starves: by time and not by
-    calls, since one booking takes as long as five lookups.  Inside of a line workspaces get turns.
+    Priority classes share the slots: by default the lowest class may occupy two thirds of them and
+    the middle class all but one, so that a call of a higher class never finds all slots occupied
+    for long.  While calls of several levels wait, slot time is divided among the levels by fixed
+    weights, so that no level starves.  It is divided by time and not by number of calls, since one
+    kind of call may take five times as long as another.  Within a level, workspaces take turns.
     """
 
     def __init__(
@@ -105,87 +106,90 @@
         self._slots = slots
         self._queue_length = queue_length
         self._timers = timers
-        self._running = [0] * LINES
+        self._running = [0] * LEVELS
         self._running_count = 0
-        self._waiting: tuple[FairQueue[_Waiter], ...] = tuple(FairQueue() for _ in range(LINES))
-        self._shares = LineShares(policy)
-        self._mean_seconds = _FIRST_GUESS
-        self._line_seconds: list[float | None] = [None] * LINES
-        self._reserved = [0] * LINES
-        self._closed_because = ""
+        self._waiting: tuple[FairQueue[_Waiter], ...] = tuple(FairQueue() for _ in range(LEVELS))
+        self._shares = LevelShares(policy)
+        self._mean_seconds = _INITIAL_MEAN_SECONDS
+        self._level_seconds: list[float | None] = [None] * LEVELS
+        self._reserved = [0] * LEVELS
+        self._close_reason = ""
         self._busy_seconds = 0.0
-        self._waited_seconds = [0.0] * LINES
+        self._waited_seconds = [0.0] * LEVELS
 
     @property
     def busy_seconds(self) -> float:
-        """Seconds for which slots were held, over all calls that have ended."""
+        """Total seconds for which slots were occupied by calls that have ended."""
         return self._busy_seconds
 
     @property
     def waited_seconds(self) -> float:
-        """Seconds that calls have waited for slots, those included that got none."""
+        """Total seconds that calls have waited for slots, including calls that got none."""
         return sum(self._waited_seconds)
 
     @property
     def inner_waited_seconds(self) -> float:
-        """The part of `waited_seconds` that calls made for other calls have waited."""
-        return self._waited_seconds[INNER]
+        """The part of `waited_seconds` spent by nested calls."""
+        return self._waited_seconds[INNER_LEVEL]
 
     @property
     def workspaces_waiting(self) -> int:
-        """Workspaces with calls that wait, at most by one line; 1 where calls have none."""
+        """Number of workspaces with waiting calls, as the maximum over the priority levels.
+
+        Calls without a workspace count as one workspace.
+        """
         return max(queue.workspaces for queue in self._waiting)
 
     @property
     def slots(self) -> int:
-        """Calls that may run at once."""
+        """Maximum number of calls that run at once."""
         return self._slots
 
     @property
     def running(self) -> int:
-        """Calls that run."""
+        """Number of calls that run."""
         return self._running_count
 
     @property
     def waiting(self) -> int:
-        """Calls that wait."""
+        """Number of calls that wait."""
         return sum(len(queue) for queue in self._waiting)
 
     @property
     def load(self) -> float:
-        """Calls running and waiting, per slot."""
+        """Running and waiting calls per slot."""
         return (self.running + self.waiting) / max(1, self._slots)
 
     @property
     def mean_seconds(self) -> float:
-        """Seconds that a call holds a slot, smoothed."""
+        """Moving average of the seconds for which a call occupies a slot."""
         return self._mean_seconds
 
     @property
     def is_closed(self) -> bool:
-        """Whether nothing new is admitted."""
-        return bool(self._closed_because)
+        """Whether the gate refuses all new calls."""
+        return bool(self._close_reason)
 
     def resize(self, *, slots: int, queue_length: int) -> None:
-        """Change the bounds; calls that run already go on."""
+        """Change the limits; calls that already run are not affected."""
         self._slots = slots
         self._queue_length = queue_length
         self._admit_waiting()
 
     def close(self, reason: str) -> None:
-        """Refuse what waits and what comes from now on; what runs goes on."""
-        self._closed_because = reason
+        """Refuse waiting and new calls; calls that already run are not affected."""
+        self._close_reason = reason
         self.refuse_waiting(reason)
 
     def reopen(self) -> None:
-        """Admit again."""
-        self._closed_because = ""
+        """Admit calls again."""
+        self._close_reason = ""
 
     def refuse_waiting(self, reason: str) -> None:
-        """Refuse all that wait now."""
+        """Refuse all calls that wait at present."""
         for queue in self._waiting:
             while queue:
-                self._refuse(queue.pop(), NotRun(reason, _LEAVING_RETRY_AFTER))
+                self._refuse(queue.pop(), NotRun(reason, _CLOSED_RETRY_AFTER_SECONDS))
 
     def try_enter(
         self,
@@ -196,46 +200,47 @@
         workspace: str = "",
         is_inner: bool = False,
     ) -> SlotHeld | NotRun | None:
-        """A slot or a refusal at once, or `None` where the call may `wait`.
+        """Return a slot or a refusal at once, or `None` if the call may `wait`.
 
-        `is_inner` tells a call that is made for another one, whose caller waits behind it.
+        `is_inner` marks a nested call, which a target makes for a call that it runs.
 
         A call that would get its slot only after `start_by` is refused while its caller still has
-        the time to go elsewhere.
+        time to try another host.
         """
-        if self._closed_because:
-            return NotRun(self._closed_because, _LEAVING_RETRY_AFTER)
-        line = line_of(priority, is_inner=is_inner)
-        if self._may_run(line) and not self._waiting[line]:
-            return self._take(line, workspace)
-        return self._refusal_for(line, workspace, deadline, start_by)
+        if self._close_reason:
+            return NotRun(self._close_reason, _CLOSED_RETRY_AFTER_SECONDS)
+        level = level_of(priority, is_inner=is_inner)
+        if self._may_run(level) and not self._waiting[level]:
+            return self._occupy(level, workspace)
+        return self._refusal_for(level, workspace, deadline, start_by)
 
     def reserve(
         self, priority: int, deadline: float, start_by: float = math.inf, *, workspace: str = ""
     ) -> Reservation | NotRun:
-        """Room for a call whose body is still to come, or the refusal.
+        """Reserve a place for a call whose body is still arriving, or return the refusal.
 
-        No slot stands empty for it meanwhile: a body of 60 KB takes 0.1 to 0.2 s over links of
-        5 Mbit/s, and slots held for that long halved what targets of such hosts could do.
+        The call occupies no slot until its body is complete: a body of 60 KB takes 0.1 to 0.2 s
+        over a link of 5 Mbit/s, and occupying slots for that long halves the throughput of targets
+        behind such links.
         """
-        if self._closed_because:
-            return NotRun(self._closed_because, _LEAVING_RETRY_AFTER)
-        line = line_of(priority)
-        if not self._may_run(line) or self.running + sum(self._reserved) >= self._slots:
-            refusal = self._refusal_for(line, workspace, deadline, start_by)
+        if self._close_reason:
+            return NotRun(self._close_reason, _CLOSED_RETRY_AFTER_SECONDS)
+        level = level_of(priority)
+        if not self._may_run(level) or self.running + sum(self._reserved) >= self._slots:
+            refusal = self._refusal_for(level, workspace, deadline, start_by)
             if refusal is not None:
                 return refusal
-        self._reserved[line] += 1
-        return Reservation(line, self)
+        self._reserved[level] += 1
+        return Reservation(level, self)
 
     async def wait(
         self, priority: int, deadline: float, *, workspace: str = "", is_inner: bool = False
     ) -> SlotHeld | NotRun:
-        """A slot for a call that waits in the queue, or the refusal."""
-        line = line_of(priority, is_inner=is_inner)
-        waiter = _Waiter(line, workspace, deadline, anyio.Event())
+        """Wait in the queue; return a slot or the refusal."""
+        level = level_of(priority, is_inner=is_inner)
+        waiter = _Waiter(level, workspace, deadline, anyio.Event())
         since = self._timers.now()
-        self._append(waiter)
+        self._enqueue(waiter)
         try:
             with self._timers.timeout(waiter.deadline - self._timers.now()):
                 await waiter.event.wait()
@@ -243,37 +248,37 @@
             self._abandon(waiter)
             raise
         finally:
-            self._waited_seconds[line] += self._timers.now() - since
+            self._waited_seconds[level] += self._timers.now() - since
         if waiter.admitted:
-            return self._held(line, workspace)
+            return self._new_slot(level, workspace)
         if waiter.refusal is None:
-            self._waiting[line].remove(waiter)
+            self._waiting[level].remove(waiter)
             return self._overload("its deadline passed while it waited for a slot")
         return waiter.refusal
 
     def _abandon(self, waiter: _Waiter) -> None:
-        """The call was cancelled while it waited."""
+        """Clean up after a call that was cancelled while it waited."""
         if waiter.admitted:
-            self._held(waiter.line, waiter.workspace).release()
-        elif waiter in self._waiting[waiter.line]:
-            self._waiting[waiter.line].remove(waiter)
+            self._new_slot(waiter.level, waiter.workspace).release()
+        elif waiter in self._waiting[waiter.level]:
+            self._waiting[waiter.level].remove(waiter)
 
-    def _append(self, waiter: _Waiter) -> None:
-        line = waiter.line
-        if not self._waiting[line]:
-            self._shares.come(line)
-        self._waiting[line].append(waiter)
+    def _enqueue(self, waiter: _Waiter) -> None:
+        level = waiter.level
+        if not self._waiting[level]:
+            self._shares.activate(level)
+        self._waiting[level].append(waiter)
 
     # --- slots --------------------------------------------------------------------------------
 
-    def _may_run(self, line: int) -> bool:
+    def _may_run(self, level: int) -> bool:
         if self.running >= self._slots:
             return False
-        return sum(self._running[line:]) < self._share_of(line)
+        return sum(self._running[level:]) < self._slot_limit(level)
 
-    def _share_of(self, line: int) -> int:
-        """Slots that this line and those below it may hold together."""
-        match LINES - 1 - line:
+    def _slot_limit(self, level: int) -> int:
+        """Return how many slots this level and those below it may occupy together."""
+        match LEVELS - 1 - level:
             case 0:
                 return max(1, math.floor(self._slots * self._policy.lowest_share))
             case 1:
@@ -281,58 +286,58 @@
             case _:
                 return self._slots
 
-    def _take(self, line: int, workspace: str) -> SlotHeld:
-        self._running[line] += 1
+    def _occupy(self, level: int, workspace: str) -> SlotHeld:
+        self._running[level] += 1
         self._running_count += 1
-        return self._held(line, workspace)
+        return self._new_slot(level, workspace)
 
-    def _held(self, line: int, workspace: str) -> SlotHeld:
-        return SlotHeld(line, workspace, self._timers.now(), self)
+    def _new_slot(self, level: int, workspace: str) -> SlotHeld:
+        return SlotHeld(level, workspace, self._timers.now(), self)
 
     def _release(self, held: SlotHeld, *, is_good: bool) -> None:
-        line = held.line
-        self._running[line] -= 1
+        level = held.level
+        self._running[level] -= 1
         self._running_count -= 1
-        took = self._timers.now() - held.since
-        self._busy_seconds += took
-        if is_good or took > self._mean_seconds:
-            self._mean_seconds += _SMOOTHING * (took - self._mean_seconds)
-            usual = self._seconds_of(line)
-            self._line_seconds[line] = usual + _SMOOTHING * (took - usual)
-            self._waiting[line].note_took(held.workspace, took)
+        duration = self._timers.now() - held.since
+        self._busy_seconds += duration
+        if is_good or duration > self._mean_seconds:
+            self._mean_seconds += _SMOOTHING * (duration - self._mean_seconds)
+            previous_mean = self._mean_seconds_of(level)
+            self._level_seconds[level] = previous_mean + _SMOOTHING * (duration - previous_mean)
+            self._waiting[level].note_duration(held.workspace, duration)
         self._admit_waiting()
 
-    def _seconds_of(self, line: int) -> float:
-        """Seconds that a call of a line holds a slot, smoothed."""
-        seconds = self._line_seconds[line]
+    def _mean_seconds_of(self, level: int) -> float:
+        """Return the moving average of the seconds for which a call of a level occupies a slot."""
+        seconds = self._level_seconds[level]
         return self._mean_seconds if seconds is None else seconds
 
     def _admit_waiting(self) -> None:
         while (waiter := self._next_waiter()) is not None:
-            self._running[waiter.line] += 1
+            self._running[waiter.level] += 1
             self._running_count += 1
             waiter.admitted = True
             waiter.event.set()
 
     def _next_waiter(self) -> _Waiter | None:
-        """The next one, of the line whose turn it is."""
+        """Remove and return the next waiter, or return `None` if no waiting call may run."""
         if self._running_count >= self._slots:
             return None
-        ready = [p for p in range(LINES) if self._waiting[p] and self._may_run(p)]
+        ready = [each for each in range(LEVELS) if self._waiting[each] and self._may_run(each)]
         if not ready:
             return None
-        line = self._shares.next(ready)
-        seconds = self._seconds_of(line)
-        self._shares.charge(line, seconds)
-        return self._waiting[line].popleft(seconds=seconds)
+        level = self._shares.next(ready)
+        seconds = self._mean_seconds_of(level)
+        self._shares.charge(level, seconds)
+        return self._waiting[level].popleft(seconds=seconds)
 
     # --- refusals -----------------------------------------------------------------------------
 
     def _refusal_for(
-        self, line: int, workspace: str, deadline: float, start_by: float
+        self, level: int, workspace: str, deadline: float, start_by: float
     ) -> NotRun | None:
-        """Why a call may not even wait, or `None`."""
-        expected = self._expected_wait(line, workspace)
+        """Return the refusal of a call that may not wait, or `None` if it may."""
+        expected = self._expected_wait(level, workspace)
         if self._timers.now() + expected >= deadline:
             return self._overload("it would wait for a slot beyond its deadline")
         if self._timers.now() + expected >= start_by:
@@ -340,65 +345,65 @@
             return self._overload(
                 f"it would wait {expected:.3f} s for a slot, and {left:.3f} s are worth waiting"
             )
-        if self.waiting < self._queue_length or len(self._waiting[line]) < self._reserve:
+        if self.waiting < self._queue_length or len(self._waiting[level]) < self._reserved_places:
             return None
-        if not self._evict_below(line):
+        if not self._evict_below(level):
             return self._overload(f"{self.waiting} calls wait already")
         return None
 
-    def _expected_wait(self, line: int, workspace: str) -> float:
-        """Seconds until one more call of a workspace gets a slot by a line.
+    def _expected_wait(self, level: int, workspace: str) -> float:
+        """Return the expected seconds until another call of a workspace and level gets a slot.
 
-        Lines differ in how long their calls take, up to ten times at targets that serve both large
-        bodies and lookups, so each counts with its own mean.
+        Each level counts with its own mean duration: those differ by up to ten times at targets
+        that serve both large bodies and small lookups.
         """
         running = self._running_count
         next_free = self._mean_seconds
         if running:
-            each = enumerate(self._running)
-            next_free = sum(count * self._seconds_of(p) for p, count in each) / running
-        ahead = self._ahead_of(line, workspace)
-        work = sum(count * self._seconds_of(p) for p, count in enumerate(ahead))
-        return (work + next_free) / max(1, self._slots)
+            counts = enumerate(self._running)
+            next_free = sum(count * self._mean_seconds_of(each) for each, count in counts) / running
+        ahead = self._ahead_of(level, workspace)
+        queued = sum(count * self._mean_seconds_of(each) for each, count in enumerate(ahead))
+        return (queued + next_free) / max(1, self._slots)
 
-    def _ahead_of(self, line: int, workspace: str) -> list[float]:
-        """Calls of each line that will get a slot before one more of this one.
+    def _ahead_of(self, level: int, workspace: str) -> list[float]:
+        """Return, for each level, how many calls get a slot before another call of this level.
 
-        Those of the own line whose turn comes before, and of the others what their parts of the
-        slots' time bring in until then, as far as they have calls that wait or whose bodies come.
+        For the own level these are the calls with an earlier turn.  Another level gets its weighted
+        share of the slot time until then, limited to its waiting calls and reservations.
         """
-        own = self._waiting[line].ahead_of(workspace) + self._reserved[line]
-        span = (own + 1) * self._seconds_of(line) / self._shares.part_of(line)
+        own_level_ahead = self._waiting[level].ahead_of(workspace) + self._reserved[level]
+        span = (own_level_ahead + 1) * self._mean_seconds_of(level) / self._shares.weight_of(level)
         return [
             (
-                float(own)
-                if p == line
+                float(own_level_ahead)
+                if other == level
                 else min(
-                    len(self._waiting[p]) + self._reserved[p],
-                    span * self._shares.part_of(p) / self._seconds_of(p),
+                    len(self._waiting[other]) + self._reserved[other],
+                    span * self._shares.weight_of(other) / self._mean_seconds_of(other),
                 )
             )
-            for p in range(LINES)
+            for other in range(LEVELS)
         ]
 
     @property
-    def _reserve(self) -> int:
-        """Places in the queue that each class has for itself, so that none is kept out for long."""
+    def _reserved_places(self) -> int:
+        """Queue places reserved for each level, so that none is kept out for long."""
         return self._queue_length // _RESERVE_DIVISOR
 
-    def _evict_below(self, line: int) -> bool:
-        """Refuse the latest waiter of the lowest line below `line`; false when none is."""
-        for lower in range(LINES - 1, line, -1):
-            if len(self._waiting[lower]) > self._reserve:
-                waiter = self._waiting[lower].pop()
+    def _evict_below(self, level: int) -> bool:
+        """Evict the last waiter of the lowest level below `level`; return whether there was one."""
+        for lower_level in range(LEVELS - 1, level, -1):
+            if len(self._waiting[lower_level]) > self._reserved_places:
+                waiter = self._waiting[lower_level].pop()
                 self._refuse(waiter, self._overload("calls of a higher class came"))
                 return True
         return False
 
     def _overload(self, reason: str) -> NotRun:
         wait = self._mean_seconds * (self.waiting + 1) / max(1, self._slots)
-        least, most = _RETRY_AFTER
-        return NotRun(reason, min(max(wait, least), most), is_overload=True)
+        shortest, longest = _RETRY_AFTER_SECONDS
+        return NotRun(reason, min(max(wait, shortest), longest), is_overload=True)
 
     def _refuse(self, waiter: _Waiter, refusal: NotRun) -> None:
         waiter.refusal = refusal
--- a/packages/admission/src/acaciayard_admission/_local.py
+++ b/packages/admission/src/acaciayard_admission/_local.py
@@ -1,4 +1,4 @@
-"""An attempt at a target on this host: through its gate, then over HTTP."""
+"""Runs a call at a target on this host: admission by its gate, then HTTP."""
 
 from __future__ import annotations
 
@@ -45,21 +45,21 @@
 
 __all__ = ["LocalExchange"]
 
-#: Seconds after which a caller may try again when a target is not there.
-_ABSENT_RETRY_AFTER: Final = 1.0
+#: Retry delay given to a caller if the target is unreachable.
+_ABSENT_RETRY_AFTER_SECONDS: Final = 1.0
 _BODILESS_METHODS: Final = frozenset({b"GET", b"HEAD", b"DELETE", b"OPTIONS"})
-#: Answers to other requests that are passed over before the connection is given up.
-_MOST_STRAY_ANSWERS: Final = 3
-#: Seconds that an idle connection may be old to carry a call that must not run twice: a target
-#: that forgets idle connections would leave its outcome unknown.
-_FRESH: Final = 1.0
-#: Seconds for opening a connection to a target on this host.
-_CONNECT_WITHIN: Final = 0.25
-_GIVEN_UP: Final = NotRun("the call was given up before it was sent", 0.1)
+#: Maximum number of responses to other requests that are skipped before the connection is closed.
+_MAX_STRAY_ANSWERS: Final = 3
+#: Maximum idle time of a connection that carries a call that must not run twice.  A target that
+#: drops idle connections would leave the outcome of such a call unknown.
+_MAX_UNSAFE_IDLE_SECONDS: Final = 1.0
+#: Timeout for connecting to a target on this host.
+_CONNECT_TIMEOUT_SECONDS: Final = 0.25
+_ABORTED_REFUSAL: Final = NotRun("the call was given up before it was sent", 0.1)
 
 
 class LocalExchange(Exchange):
-    """A call at a target beside this daemon."""
+    """A call at a target on the host of this daemon."""
 
     def __init__(
         self,
@@ -95,7 +95,7 @@
 
     @property
     def since(self) -> float:
-        """When it came here, by the timer service."""
+        """When the call arrived, by the timer service."""
         return self._since
 
     @property
@@ -112,27 +112,27 @@
 
     @property
     def load(self) -> float:
-        """Load of the target, for the daemon that asked."""
+        """Load of the target, reported to the calling daemon."""
         return self._target.gate.load if self._target is not None else 0.0
 
     @property
     def mean_seconds(self) -> float:
-        """Mean seconds that a call takes at the target, for the daemon that asked."""
+        """Mean duration of a call at the target, reported to the calling daemon."""
         return self._target.gate.mean_seconds if self._target is not None else 0.0
 
     async def start(self) -> NotRun | None:
-        """Get a slot and a connection and send the head; the refusal where that fails.
+        """Get a slot and a connection and send the head; return the refusal if that fails.
 
-        Nothing has reached the target when a refusal is returned.
+        If a refusal is returned, nothing has been sent to the target.
         """
         return await self.enter() or self.send_head()
 
     async def enter(self) -> NotRun | None:
-        """Get a slot and a connection, and send nothing yet; the refusal where that fails."""
-        return await self._enter() or (_GIVEN_UP if self._is_aborted else None)
+        """Get a slot and a connection without sending; return the refusal if that fails."""
+        return await self._enter() or (_ABORTED_REFUSAL if self._is_aborted else None)
 
     def reserve(self) -> NotRun | None:
-        """Have room kept until the body is here, and no slot; the refusal where there is none."""
+        """Reserve a place, but no slot, until the body has arrived; return the refusal if any."""
         target = self._targets.pick(self._call.service)
         if target is None:
             return self._absent()
@@ -147,22 +147,24 @@
         return None
 
     def hold(self, body: bytes) -> None:
-        """Take the whole body, for a call that was admitted without it."""
+        """Set the complete body of a call that was admitted without it."""
         self._call = self._call.with_changes(body=body, is_whole=True, length=len(body))
         self._body_sent = True
         if self._reservation is not None:
-            # It has paid for its way: refused now it would have to go it once more.
+            # The body has been transferred; after a refusal now it would be transferred again.
             self._call = self._call.with_changes(start_by=math.inf)
             self._reservation.end()
 
     def _absent(self) -> NotRun:
-        return NotRun(f"no target of {self._call.service!r} on this host", _ABSENT_RETRY_AFTER)
+        return NotRun(
+            f"no target of {self._call.service!r} on this host", _ABSENT_RETRY_AFTER_SECONDS
+        )
 
     def try_enter(self) -> NotRun | None:
-        """Get a slot if one is free; the refusal where the call may not wait for one either.
+        """Get a slot if one is free; return the refusal if the call may not wait for one either.
 
-        It takes no time and needs no limit, so a daemon whose targets are full asks first, and sets
-        up nothing for the calls that it refuses.
+        This does not block and needs no timeout, so a daemon with full targets calls it first and
+        does no further work for calls that it refuses.
         """
         call = self._call
         target = self._targets.pick(call.service)
@@ -191,33 +193,33 @@
             if isinstance(entered, NotRun):
                 return entered
             self._slot = entered
-        youngest = math.inf if self._call.is_idempotent else _FRESH
-        self._connection = target.idle_connection(youngest)
+        max_idle_seconds = math.inf if self._call.is_idempotent else _MAX_UNSAFE_IDLE_SECONDS
+        self._connection = target.idle_connection(max_idle_seconds)
         if self._connection is not None:
             return None
         return await self._connect(target)
 
     async def _connect(self, target: LocalTarget) -> NotRun | None:
-        """Open a connection; `abort` ends the wait for it."""
+        """Open a connection; `abort` cancels the attempt."""
         with anyio.CancelScope() as scope:
             self._waiting = scope
             try:
-                with self._timers.timeout(_CONNECT_WITHIN):
+                with self._timers.timeout(_CONNECT_TIMEOUT_SECONDS):
                     self._connection = await target.new_connection()
                     return None
             except StreamLostError as error:
                 if isinstance(error, NobodyListensError):
                     self._targets.note_ended_target(target)
-                return NotRun(f"the target is not there: {error}", _ABSENT_RETRY_AFTER)
+                return NotRun(f"the target is not there: {error}", _ABSENT_RETRY_AFTER_SECONDS)
             finally:
                 self._waiting = None
         if self._is_aborted:
-            return _GIVEN_UP
-        reason = f"the target took no connection in {_CONNECT_WITHIN:g} s"
-        return NotRun(reason, _ABSENT_RETRY_AFTER)
+            return _ABORTED_REFUSAL
+        reason = f"the target took no connection in {_CONNECT_TIMEOUT_SECONDS:g} s"
+        return NotRun(reason, _ABSENT_RETRY_AFTER_SECONDS)
 
     async def _wait(self, target: LocalTarget) -> SlotHeld | NotRun:
-        """Wait in the queue of the target; `abort` ends the wait."""
+        """Wait in the queue of the target; `abort` cancels the wait."""
         self._on_queued()
         with anyio.CancelScope() as scope:
             self._waiting = scope
@@ -230,24 +232,24 @@
                 )
             finally:
                 self._waiting = None
-        return _GIVEN_UP
+        return _ABORTED_REFUSAL
 
     def _suspicion(self) -> Suspicion | NotRun | None:
-        """What is held against the call; the refusal where it must not run now.
+        """Return the suspicion against the call, or the refusal if it must not run now.
 
-        This daemon alone sends calls to the target, so what it refuses here is refused whatever
-        the daemon that asks has heard yet.
+        Only this daemon sends calls to the target, so the check holds even if the calling daemon
+        has not yet learnt of the suspicion.
         """
         suspects = self._targets.suspects
         suspicion = suspects.of(self._call)
         refusal = suspects.refusal_of(suspicion)
         if suspicion is None or refusal is not None:
             return refusal
-        is_beside_another = self._target is not None and self._target.has_trial
-        return suspects.busy() if is_beside_another else suspicion
+        has_other_trial = self._target is not None and self._target.has_trial
+        return suspects.busy() if has_other_trial else suspicion
 
     def send_head(self) -> NotRun | None:
-        """Send the head, with the body where it is whole; the refusal where it must not run."""
+        """Send the head, and the body if it is complete; return the refusal of a barred call."""
         assert self._connection is not None
         suspicion = self._suspicion()
         if isinstance(suspicion, NotRun):
@@ -269,16 +271,16 @@
         self._targets.note_running(call)
         if self._target is not None:
             self._at_work = self._target.begin(call, suspicion)
-        with contextlib.suppress(StreamLostError):  # the answer will not come: that says it
+        with contextlib.suppress(StreamLostError):  # waiting for the answer reports the loss
             self._connection.stream.send_nowait(data + call.body if call.body else data)
         return None
 
     async def wait_admitted(self) -> NotRun | None:
-        return None  # `start` returns only then
+        return None  # `start` returns after admission
 
     async def send_part(self, data: bytes) -> None:
-        piece = chunk(data) if self._call.length == UNKNOWN_LENGTH else data
-        await self._open().stream.send(piece)
+        encoded = chunk(data) if self._call.length == UNKNOWN_LENGTH else data
+        await self._open().stream.send(encoded)
 
     async def finish(self, trailers: Headers) -> None:
         if self._call.length == UNKNOWN_LENGTH:
@@ -292,7 +294,7 @@
 
     async def answer(self) -> Answer | NotRun | OutcomeUnknown:
         try:
-            for _ in range(_MOST_STRAY_ANSWERS + 1):
+            for _ in range(_MAX_STRAY_ANSWERS + 1):
                 head = await self._open().reader.next_head(
                     to_head_request=self._call.wants_head_only
                 )
@@ -304,10 +306,10 @@
         except HttpError as error:
             return OutcomeUnknown(f"the target gave no whole answer: {error}")
         except StreamLostError as error:
-            return await self._broken_off(error)
+            return await self._connection_lost(error)
 
-    async def _broken_off(self, error: StreamLostError) -> OutcomeUnknown:
-        """What is told of a call whose connection the target has broken off."""
+    async def _connection_lost(self, error: StreamLostError) -> OutcomeUnknown:
+        """Return the outcome of a call whose connection the target has broken off."""
         if self._is_aborted or self._target is None:
             return OutcomeUnknown(f"the target gave no whole answer: {error}")
         if not await self._target.has_ended():
@@ -317,7 +319,7 @@
         return OutcomeUnknown("the target ended while it ran the call", is_blamed=is_blamed)
 
     def _is_stray(self, head: ResponseHead) -> bool:
-        """Whether this is a late or second answer to an earlier request on the connection."""
+        """Return whether this is a late or duplicate response to an earlier request."""
         if not self._dialect.request_id or not self._call.request_id:
             return False
         echoed = first_header(head.headers, self._dialect.request_id)
@@ -328,7 +330,7 @@
             pass
 
     async def _outcome_of(self, head: ResponseHead) -> Answer | NotRun | OutcomeUnknown:
-        """The answer, unless it is a refusal or not fit to be passed on."""
+        """Return the answer, unless it is a refusal or cannot be forwarded."""
         dialect = self._dialect
         if dialect.not_run and first_header(head.headers, dialect.not_run):
             self._reusable = may_reuse(head, self._call)
@@ -351,8 +353,9 @@
         end = End()
         is_whole = 0 <= length <= LARGEST_WHOLE_BODY
         if is_whole or (self._dialect.seal and head.framing is Framing.UNTIL_CLOSE):
-            # Where the end of the connection ends the body, only a reset tells a cut one from a
-            # whole one; it is read to its end here, so that a cut one is not passed on at all.
+            # If the body ends when the connection closes, only a reset distinguishes a truncated
+            # body from a complete one.  It is read to its end here, so that a truncated body is
+            # not forwarded at all.
             body, end = await self._read_whole()
             is_whole, length = True, len(body)
         return Answer(
@@ -380,7 +383,7 @@
         except HttpError as error:
             raise StreamLostError(f"the target's answer makes no sense: {error}") from error
         except StreamLostError as error:
-            await self._broken_off(error)
+            await self._connection_lost(error)
             raise
         if isinstance(part, End):
             self._release(reuse=self._reusable and self._body_sent)
--- a/packages/admission/src/acaciayard_admission/_starts.py
+++ b/packages/admission/src/acaciayard_admission/_starts.py
@@ -1,19 +1,20 @@
-"""Which start of a target is meant, and which starts have left.
+"""Distinguishes the starts of a target, and remembers which starts have left.
 
-A target may start again under the name that it had.  It then holds and knows nothing of before, so
-a target is its name **and** its start.  Starts of one name are ordered by when they began, as the
-clock of their host told it:
+A target may restart under the same name.  It then has none of its earlier state, so a target is
+identified by its name **and** its start time.  Starts of one name are ordered by their start times,
+as given by the clock of their host:
 
     records = StartRecords(wall=time.time, now=timers.now)
     records.leave(Start("novero-1", 1000))
-    records.has_left(Start("novero-1", 1000))       # True: this start takes nothing ever again
-    records.has_left(Start("novero-1", 900))        # True: late news of a start before it
-    records.has_left(Start("novero-1", 2000))       # False: the target has started again
-
-Clocks step.  A start after a step back may look older than the one before it.  While the newer
-looking one is heard of, or for `LATE_NEWS` after it has left, the older looking one is passed over;
-from then on it counts as a new start.  A step costs a target that much service at the most, and
-never lets late news of an earlier start open what a leaving has closed.
+    records.has_left(Start("novero-1", 1000))       # True: this start never takes calls again
+    records.has_left(Start("novero-1", 900))        # True: a late announcement of an earlier start
+    records.has_left(Start("novero-1", 2000))       # False: the target has restarted
+
+Clocks may step.  After a step back, a new start may have an earlier start time than its
+predecessor.  It is ignored while the predecessor announces itself, and for
+`LATE_ANNOUNCEMENT_SECONDS` after that has left; then it counts as a new start.  A clock step thus
+keeps a target out of service for a limited time, and a late announcement of an earlier start never
+reopens a target that has left.
 """
 
 from __future__ import annotations
@@ -23,13 +24,13 @@
 
 from attrs import frozen
 
-__all__ = ["LATE_NEWS", "Start", "StartRecords"]
+__all__ = ["LATE_ANNOUNCEMENT_SECONDS", "Start", "StartRecords"]
 
-#: Seconds for which news of a start that has ended may still arrive.  Announcements come seconds
-#: late over a link that was cut; the longest cuts known last about 13 s.
-LATE_NEWS: Final = 30.0
-#: Names of which leavings are remembered; a host has one or two targets at a time.
-_MOST_LEFT: Final = 256
+#: Time for which announcements of a start that has ended may still arrive.  They are delayed over
+#: interrupted links; the longest known interruptions last about 13 s.
+LATE_ANNOUNCEMENT_SECONDS: Final = 30.0
+#: Maximum number of target names that are remembered; a host has one or two targets at a time.
+_MAX_REMEMBERED_NAMES: Final = 256
 
 
 @frozen(order=True)
@@ -38,59 +39,60 @@
 
     #: Name of the target, unique on its host.
     name: str
-    #: When it started, in Unix milliseconds by the clock of its host; 0 where it is not told.
+    #: Start time in Unix milliseconds by the clock of its host; 0 if unknown.
     born: int = 0
 
 
 @frozen
-class _Leaving:
-    """The newest start of a name that has left."""
+class _Departure:
+    """The newest start of a target name that has left."""
 
-    #: When that start began, in Unix milliseconds; not later than what is written here where the
-    #: leaving did not say which start it was.
+    #: Start time in Unix milliseconds; an upper bound if the report did not identify the start.
     born: int
-    #: When it was heard, by the timer service.
-    heard: float
-    #: Whether the leaving said which start it was.
+    #: When it was reported, by the timer service.
+    reported_at: float
+    #: Whether the report identified the start.
     is_exact: bool
 
 
 class StartRecords:
-    """Remembers which starts of targets have left."""
+    """Records which starts of targets have left."""
 
     def __init__(self, *, wall: Callable[[], float], now: Callable[[], float]) -> None:
         self._wall = wall
         self._now = now
-        self._left: dict[str, _Leaving] = {}
-        self._are_told = False
+        self._departures: dict[str, _Departure] = {}
+        self._reports_start_times = False
 
     @property
-    def are_told(self) -> bool:
-        """Whether targets here say when they started: from then on each must."""
-        return self._are_told
+    def reports_start_times(self) -> bool:
+        """Whether targets on this host report their start times; from then on each must."""
+        return self._reports_start_times
 
     def note(self, start: Start) -> None:
-        """A target has said who it is."""
-        self._are_told = self._are_told or start.born > 0
+        """Record the start that an announcement identifies."""
+        self._reports_start_times = self._reports_start_times or start.born > 0
 
     def leave(self, start: Start) -> None:
-        """This start leaves, or has left.
+        """Record that a start is leaving or has left.
 
-        A leaving that does not say of which start holds for each that has begun by now: the clock
-        of this host, which is that of the target too, tells later ones.
+        Without a start time this applies to every start up to now.  Later starts are recognized by
+        the clock of this host, which the targets use too.
         """
         born = start.born or round(self._wall() * 1000)
-        known = self._left.pop(start.name, None)
-        if known is not None and start.born and known.born > born:
-            born = known.born
-        self._left[start.name] = _Leaving(born, self._now(), is_exact=start.born > 0)
-        if len(self._left) > _MOST_LEFT:
-            del self._left[next(iter(self._left))]
+        previous = self._departures.pop(start.name, None)
+        if previous is not None and start.born and previous.born > born:
+            born = previous.born
+        self._departures[start.name] = _Departure(born, self._now(), is_exact=start.born > 0)
+        if len(self._departures) > _MAX_REMEMBERED_NAMES:
+            del self._departures[next(iter(self._departures))]
 
     def has_left(self, start: Start) -> bool:
-        """Whether this start has left, or is older than one that has."""
-        leaving = self._left.get(start.name)
-        if leaving is None or start.born > leaving.born:
+        """Return whether this start, or a later one, has left."""
+        departure = self._departures.get(start.name)
+        if departure is None or start.born > departure.born:
             return False
-        is_other = leaving.is_exact and 0 < start.born < leaving.born
-        return not (is_other and self._now() - leaving.heard > LATE_NEWS)
+        is_earlier_start = departure.is_exact and 0 < start.born < departure.born
+        return not (
+            is_earlier_start and self._now() - departure.reported_at > LATE_ANNOUNCEMENT_SECONDS
+        )
--- a/packages/admission/src/acaciayard_admission/_suspects.py
+++ b/packages/admission/src/acaciayard_admission/_suspects.py
@@ -1,22 +1,23 @@
-"""Which requests are suspected of ending the targets that run them.
+"""Tracks requests that are suspected of ending the targets that run them.
 
-A fault may travel with the work and not with the host: a request that ends each target that runs
-it comes again, at any daemon.  Whatever helps against a host that fails (another host, a second
-try) then brings the fault to the next sound target.  So daemons remember the requests that were at
-work when a target ended, by what they ask for, and tell each other:
+A failure may be caused by a request and not by a host: a request that crashes every target that
+runs it may be repeated, at any daemon.  The usual remedies for a failed host, such as a retry on
+another host, then spread the failure to healthy targets.  The daemons therefore remember the
+fingerprints of the requests that were running when a target ended, and share them:
 
-* all calls at work when a target ends become suspects;
-* a suspect runs only as a trial: at the one host that all daemons choose for it, with no other
-  suspect beside it, so that two suspects are not blamed for each other again and again;
-* a good answer clears it at once;
-* one whose target has ended `ENDS_TO_BAR` times in a row is barred: it is refused, unsent.
+* all calls that are running when a target ends become suspects;
+* a suspect runs only as a trial: on the one host that all daemons pick for it, and with no other
+  suspect beside it, so that two suspects are not blamed for each other repeatedly;
+* a successful answer clears a suspect at once;
+* a request whose targets have ended `ENDS_TO_BAR` times in a row is barred: it is refused without
+  being sent.
 
-Ends that no daemon could know of each other count once: targets that end in one moment, for a
-reason outside, say nothing more of a call that was at several of them.
+Ends that are observed independently of each other count once: if several targets end at the same
+moment for an external reason, that is no additional evidence against a call that ran at them.
 
     suspects = Suspects(timers=timers, dialect=dialect)
-    suspicion = suspects.of(call)               # None: nothing is held against it
-    suspects.note_end(call, known=suspicion)    # its target has ended
+    suspicion = suspects.of(call)               # None: the request is not suspected
+    suspects.note_end(call, known=suspicion)    # the target has ended
     suspects.note_good(call)                    # a target has answered it
 """
 
@@ -33,59 +34,59 @@
 
 __all__ = ["ENDS_TO_BAR", "SuspectNews", "Suspects"]
 
-#: Targets that must have ended under a call, one after the other, before it is barred.  The first
-#: may have had any of its calls as the cause; at the second and the third this one was the only
-#: suspect, so that two ends for another reason at just those moments would be needed to bar a good
-#: call.  In 72 modelled runs with 13 hosts, half and more of whose calls ask for one of five
-#: things, that happened to none of some 115,000 good calls.
+#: Number of targets that must have ended while running a request, one after another, before it is
+#: barred.  Any call of the first target may be the cause.  At the second and the third the request
+#: was the only suspect, so barring a harmless request takes two ends for another reason during its
+#: trials.  In 72 simulated runs with 13 hosts, where at least half of the calls repeat one of five
+#: requests, this happened to none of about 115,000 harmless calls.
 ENDS_TO_BAR: Final = 3
-#: Seconds for which a suspect is remembered that does not come again.
-_SUSPECT_FOR: Final = 600.0
-#: Seconds for which a call stays barred before one careful trial is allowed: by then operators may
-#: have put the targets right.  Each trial that ends one more target doubles it, to a day at most.
-_BARRED_FOR: Final = 600.0
-_LONGEST_BAR: Final = 86_400.0
-#: Suspects that are remembered.  One takes some 230 bytes here; targets of ten slots that end once
-#: a second for ten minutes make 6,000, of which the newest are kept.
-_MOST_KNOWN: Final = 1024
-#: Suspicions that a daemon passes on as its own: 13 bytes each in its record, 312 for all, where a
-#: datagram of news holds 1,200.
-_MOST_TOLD: Final = 24
-#: Seconds after which a caller may come back while another suspect is on trial: a run of a call
-#: takes about as long.
-_TRIAL_RETRY_AFTER: Final = 0.2
+#: Time after which a suspect that is not repeated is forgotten.
+_SUSPECT_TTL_SECONDS: Final = 600.0
+#: Time for which a request stays barred before another trial is allowed, since operators may have
+#: fixed the targets by then.  Each trial that ends another target doubles it, up to one day.
+_BAR_SECONDS: Final = 600.0
+_MAX_BAR_SECONDS: Final = 86_400.0
+#: Maximum number of suspects that are remembered, at about 230 bytes each.  Targets with ten slots
+#: that end once a second for ten minutes produce 6,000, of which the newest are kept.
+_MAX_SUSPECTS: Final = 1024
+#: Maximum number of suspicions that a daemon publishes as its own.  They take 13 bytes each in its
+#: member record, 312 bytes in total, and a gossip datagram holds 1,200 bytes.
+_MAX_PUBLISHED: Final = 24
+#: Retry delay of a suspect while another one is on trial; about the duration of a call.
+_TRIAL_RETRY_AFTER_SECONDS: Final = 0.2
 
 
 @frozen
 class SuspectNews:
-    """What changes the belief of this daemon in a request, for logs."""
+    """A change in what this daemon knows about a request, for logs."""
 
-    #: What the request asks for, in hexadecimal digits.
+    #: Fingerprint of the request in hexadecimal.
     fingerprint: str
-    #: What has happened: `suspected`, `barred`, `cleared` or `expired`.
+    #: Kind of event: `suspected`, `barred`, `cleared` or `expired`.
     what: str
-    #: Targets that have ended under it, one after the other.
+    #: Number of targets that have ended while running it, one after another.
     ends: int
-    #: Whether another daemon told it.
+    #: Whether another daemon reported it.
     is_heard: bool = False
 
     def fields(self) -> dict[str, object]:
-        """What a log line says of it."""
-        told = {"fingerprint": self.fingerprint, "what": self.what, "ends": self.ends}
-        return {**told, "heard": True} if self.is_heard else told
+        """Return the fields of the log line."""
+        fields = {"fingerprint": self.fingerprint, "what": self.what, "ends": self.ends}
+        return {**fields, "heard": True} if self.is_heard else fields
 
 
 @define
-class _Known:
+class _Entry:
     suspicion: Suspicion
-    #: When it was learnt, by the timer service.
+    #: When this daemon learnt of it, by the timer service.
     since: float
 
 
 class Suspects:
-    """The requests under suspicion, as far as this daemon knows.
+    """The suspected requests that this daemon knows of.
 
-    `tell` is called with every change of what is believed here; `share` has the others told.
+    `tell` is called with an event for each change; `share` exchanges suspicions with the other
+    daemons.
     """
 
     def __init__(
@@ -99,62 +100,62 @@
         self._dialect = dialect
         self._members: Membership | None = None
         self._tell = tell
-        self._known: dict[bytes, _Known] = {}
+        self._known: dict[bytes, _Entry] = {}
         self._own: dict[bytes, Suspicion] = {}
         self._refused = 0
 
     def share(self, members: Membership) -> None:
-        """Tell the other daemons what is found out here, and hear it from them.
+        """Publish the suspicions of this daemon to the others, and receive theirs.
 
-        It travels with the records of members, which outlive the daemon that made them for ten
-        minutes and come to each that joins.
+        Suspicions are part of the member records.  Those are kept for ten minutes after their
+        daemon has gone, and reach each daemon that joins.
         """
         self._members = members
-        members.table.subscribe(self._hear)
+        members.table.subscribe(self._on_member_change)
         members.table.on_own_past(lambda past: self.recall(past.suspicions))
 
-    def _hear(self, before: Member | None, now: Member) -> None:
+    def _on_member_change(self, before: Member | None, now: Member) -> None:
         assert self._members is not None
         is_own = now.host == self._members.table.own.host
         if not is_own and (before is None or before.suspicions != now.suspicions):
             self.merge(now.suspicions)
 
     def _publish(self) -> None:
-        """Tell the others at once: the request may be at their doors already."""
+        """Publish at once, since the request may already have reached the other daemons."""
         if self._members is not None:
             self._members.table.set_suspicions(self.told())
             self._members.flush()
 
     @property
     def refused(self) -> int:
-        """Calls that were refused because they are barred, so far."""
+        """Number of calls that were refused because they are barred."""
         return self._refused
 
     @property
     def suspected(self) -> int:
-        """Requests under suspicion."""
+        """Number of suspected requests."""
         return sum(known.suspicion.ends > 0 for known in self._known.values())
 
     @property
     def barred(self) -> int:
-        """Requests that are refused at present."""
+        """Number of requests that are barred at present."""
         return sum(self.is_barred(known.suspicion) for known in self._known.values())
 
     def fingerprint_of(self, call: Call) -> bytes:
-        """What a call asks for, the same each time that it comes."""
+        """Return the fingerprint of a call, which is the same whenever the request is repeated."""
         return fingerprint_of(call, self._dialect)
 
     def all(self) -> tuple[Suspicion, ...]:
-        """All requests under suspicion, the gravest first."""
-        held = (known.suspicion for known in self._known.values() if known.suspicion.ends)
-        return tuple(sorted(held, key=lambda s: -s.ends))
+        """Return all suspicions, those with the most ends first."""
+        suspicions = (known.suspicion for known in self._known.values() if known.suspicion.ends)
+        return tuple(sorted(suspicions, key=lambda s: -s.ends))
 
-    # --- questions ----------------------------------------------------------------------------
+    # --- queries ------------------------------------------------------------------------------
 
     def of(self, call: Call) -> Suspicion | None:
-        """What is held against a call; `None` for nothing.
+        """Return the suspicion against a call, or `None`.
 
-        It costs 0.2 us while nothing is suspected anywhere, and a fingerprint otherwise.
+        Takes 0.2 us while no request is suspected, and otherwise the time of a fingerprint.
         """
         if not self._known:
             return None
@@ -162,136 +163,137 @@
         return known.suspicion if known is not None and known.suspicion.ends else None
 
     def is_barred(self, suspicion: Suspicion) -> bool:
-        """Whether a call under this suspicion must not reach a target."""
-        return self._barred_for(suspicion) > 0
+        """Return whether the request must not be sent to a target."""
+        return self._bar_seconds_left(suspicion) > 0
 
-    def _barred_for(self, suspicion: Suspicion) -> float:
-        """Seconds for which it stays barred; 0 where it may have a trial."""
+    def _bar_seconds_left(self, suspicion: Suspicion) -> float:
+        """Return the seconds for which a request stays barred; 0 if it may have a trial."""
         known = self._known.get(suspicion.fingerprint)
-        over = suspicion.ends - ENDS_TO_BAR
-        if known is None or over < 0:
+        extra_ends = suspicion.ends - ENDS_TO_BAR
+        if known is None or extra_ends < 0:
             return 0.0
-        seconds = min(_LONGEST_BAR, _BARRED_FOR * 2.0 ** min(over, 16))
+        seconds = min(_MAX_BAR_SECONDS, _BAR_SECONDS * 2.0 ** min(extra_ends, 16))
         return max(0.0, known.since + seconds - self._timers.now())
 
     def refusal_of(self, suspicion: Suspicion | None) -> NotRun | None:
-        """The refusal of a call that is barred, `None` where it may run or have its trial."""
+        """Return the refusal of a barred call, or `None` if it may run or have its trial."""
         if suspicion is None or not self.is_barred(suspicion):
             return None
         return self.refusal(suspicion)
 
     def refusal(self, suspicion: Suspicion) -> NotRun:
-        """How a barred call is refused, at once and unsent."""
+        """Return the refusal of a barred call, and count it."""
         self._refused += 1
         return NotRun(
             f"{suspicion.ends} targets in a row have ended under this request "
             f"{suspicion.fingerprint.hex()}",
-            self._barred_for(suspicion),
+            self._bar_seconds_left(suspicion),
             is_barred=True,
         )
 
     @staticmethod
     def busy() -> NotRun:
-        """How a suspect is refused where another one is on trial."""
+        """Return the refusal of a suspect while another one is on trial."""
         reason = "another request under suspicion runs at the target"
-        return NotRun(reason, _TRIAL_RETRY_AFTER, is_overload=True)
+        return NotRun(reason, _TRIAL_RETRY_AFTER_SECONDS, is_overload=True)
 
     # --- evidence -----------------------------------------------------------------------------
 
     def note_end(self, call: Call, known: Suspicion | None, *, is_own: bool = True) -> None:
-        """A target has ended under a call; `known` is what was held against it when it was sent.
+        """Record that a target has ended while running a call.
 
-        Two ends under copies of a call that were sent with the same knowledge are one step.
-        `is_own` where the target was beside this daemon, which then tells the others.
+        `known` is the suspicion against the call when it was sent.  Ends under copies of a call
+        that were sent with the same suspicion count once.  `is_own` is true if the target was on
+        the host of this daemon, which then informs the others.
         """
         fingerprint = self.fingerprint_of(call)
         if known is None:
-            cleared = self._known.get(fingerprint)
-            is_cleared = cleared is not None and cleared.suspicion.ends == 0
-            before = cleared.suspicion if cleared is not None and is_cleared else None
+            entry = self._known.get(fingerprint)
+            is_cleared = entry is not None and entry.suspicion.ends == 0
+            before = entry.suspicion if entry is not None and is_cleared else None
         else:
             before = known
         sequence = before.sequence if before is not None else 0
         ends = before.ends if before is not None else 0
-        self._take(Suspicion(fingerprint, sequence + 1, ends + 1), is_own=is_own)
+        self._apply(Suspicion(fingerprint, sequence + 1, ends + 1), is_own=is_own)
 
     def note_good(self, call: Call) -> None:
-        """A target has answered a call: it is no request that ends targets."""
+        """Clear a request, because a target has answered it."""
         if self.of(call) is not None:
             self.lift(self.fingerprint_of(call))
 
     def lift(self, fingerprint: bytes) -> bool:
-        """Clear a request, perhaps because an operator says so; false where nothing is held."""
+        """Clear a request, for example by order of an operator; return whether it was suspected."""
         known = self._known.get(fingerprint)
         if known is None or not known.suspicion.ends:
             return False
-        held = known.suspicion
-        self._take(held.with_changes(sequence=held.sequence + 1, ends=0), is_own=True)
+        suspicion = known.suspicion
+        self._apply(suspicion.with_changes(sequence=suspicion.sequence + 1, ends=0), is_own=True)
         return True
 
     def merge(self, suspicions: Iterable[Suspicion]) -> None:
-        """Take what another daemon has found out."""
+        """Merge suspicions that another daemon has published."""
         for suspicion in suspicions:
-            self._take(suspicion, is_own=False)
+            self._apply(suspicion, is_own=False)
 
     def recall(self, suspicions: Iterable[Suspicion]) -> None:
-        """Take over what this daemon had found out before its last start."""
+        """Restore the suspicions that this daemon had published before its restart."""
         for suspicion in suspicions:
-            self._take(suspicion, is_own=True)
+            self._apply(suspicion, is_own=True)
 
-    def _take(self, suspicion: Suspicion, *, is_own: bool) -> None:
+    def _apply(self, suspicion: Suspicion, *, is_own: bool) -> None:
         known = self._known.get(suspicion.fingerprint)
-        is_news = known is None or known.suspicion.age < suspicion.age
-        if is_news:
+        is_newer = known is None or known.suspicion.age < suspicion.age
+        if is_newer:
             self._known.pop(suspicion.fingerprint, None)
-            self._known[suspicion.fingerprint] = _Known(suspicion, self._timers.now())
-            self._tell_of(suspicion, is_heard=not is_own)
-            self._make_room()
-        if is_news and not is_own:
-            self._own.pop(suspicion.fingerprint, None)  # the one that knows more passes it on
-        if is_own and (is_news or suspicion.fingerprint not in self._own):
+            self._known[suspicion.fingerprint] = _Entry(suspicion, self._timers.now())
+            self._emit(suspicion, is_heard=not is_own)
+            self._evict_excess()
+        if is_newer and not is_own:
+            self._own.pop(suspicion.fingerprint, None)  # the better informed daemon publishes it
+        if is_own and (is_newer or suspicion.fingerprint not in self._own):
             self._own[suspicion.fingerprint] = self._known[suspicion.fingerprint].suspicion
             self._publish()
 
-    def _tell_of(self, suspicion: Suspicion, *, is_heard: bool) -> None:
+    def _emit(self, suspicion: Suspicion, *, is_heard: bool) -> None:
         what = "cleared"
         if suspicion.ends:
             what = "barred" if suspicion.ends >= ENDS_TO_BAR else "suspected"
         self._tell(SuspectNews(suspicion.fingerprint.hex(), what, suspicion.ends, is_heard))
 
     def told(self) -> tuple[Suspicion, ...]:
-        """What this daemon passes on: what it has found out itself, the gravest first."""
+        """Return the suspicions to publish: barred requests first, then the newest."""
         newest_first = reversed(self._own.values())
         gravest = sorted(newest_first, key=lambda s: s.ends < ENDS_TO_BAR)
-        return tuple(gravest[:_MOST_TOLD])
+        return tuple(gravest[:_MAX_PUBLISHED])
 
-    # --- an end to it -------------------------------------------------------------------------
+    # --- expiry -------------------------------------------------------------------------------
 
-    def _make_room(self) -> None:
-        """Drop the oldest of the least suspected where there are too many."""
-        if len(self._known) > _MOST_KNOWN:
+    def _evict_excess(self) -> None:
+        """Remove the oldest of the least suspected requests if there are too many."""
+        if len(self._known) > _MAX_SUSPECTS:
             least = min(self._known.values(), key=lambda k: min(k.suspicion.ends, ENDS_TO_BAR))
-            self._drop(least.suspicion)
+            self._remove(least.suspicion)
 
     def forget_old(self) -> None:
-        """Drop what has not been heard of for long; called now and then."""
+        """Remove expired suspicions; called periodically."""
         now = self._timers.now()
         old = [
             known.suspicion
             for known in self._known.values()
-            if now - known.since > _remembered_for(known.suspicion)
+            if now - known.since > _retention_seconds(known.suspicion)
         ]
         for suspicion in old:
-            self._drop(suspicion)
+            self._remove(suspicion)
             if suspicion.ends:
                 self._tell(SuspectNews(suspicion.fingerprint.hex(), "expired", suspicion.ends))
 
-    def _drop(self, suspicion: Suspicion) -> None:
+    def _remove(self, suspicion: Suspicion) -> None:
         del self._known[suspicion.fingerprint]
         if self._own.pop(suspicion.fingerprint, None) is not None:
             self._publish()
 
 
-def _remembered_for(suspicion: Suspicion) -> float:
-    """Seconds after which nothing is known any more of a request that did not come again."""
-    return _LONGEST_BAR if suspicion.ends >= ENDS_TO_BAR else _SUSPECT_FOR
+def _retention_seconds(suspicion: Suspicion) -> float:
+    """Return the seconds for which a suspicion is kept if the request is not repeated."""
+    return _MAX_BAR_SECONDS if suspicion.ends >= ENDS_TO_BAR else _SUSPECT_TTL_SECONDS
--- a/packages/admission/src/acaciayard_admission/_target.py
+++ b/packages/admission/src/acaciayard_admission/_target.py
@@ -1,4 +1,4 @@
-"""One target on this host: what it says of itself, its gate and its connections."""
+"""A target on this host: its announcement, its gate and its connections."""
 
 from __future__ import annotations
 
@@ -24,91 +24,91 @@
 )
 
 from ._gate import Gate
-from ._line_shares import GatePolicy
+from ._level_shares import GatePolicy
 from ._starts import Start
 
 __all__ = ["DEFAULT_QUEUE", "Announcement", "CallAtWork", "LocalTarget", "TargetConnection"]
 
-#: Slots of a target that has just started, as a divisor.
-_STARTING_DIVISOR: Final = 3
-#: Seconds for which an idle connection to a target is used again; targets close idle connections
-#: after some time of their own, and a call sent at that moment is lost.
-_IDLE_FOR: Final = 4.0
-#: Idle connections kept to a target.
-_IDLE_CONNECTIONS: Final = 32
-#: Seconds for finding out whether a target that broke a connection off still listens.
-_LOOK_WITHIN: Final = 0.25
-#: Calls that may wait where no configuration says how many.
+#: Divisor of the slots of a target that is still starting.
+_STARTING_SLOTS_DIVISOR: Final = 3
+#: Time for which an idle connection is reused.  Targets close idle connections after a timeout of
+#: their own, and a call that is sent at that moment is lost.
+_IDLE_TIMEOUT_SECONDS: Final = 4.0
+#: Maximum number of idle connections to a target.
+_MAX_IDLE_CONNECTIONS: Final = 32
+#: Timeout for checking whether a target that broke off a connection still listens.
+_CHECK_TIMEOUT_SECONDS: Final = 0.25
+#: Queue length of a target whose service is not configured.
 DEFAULT_QUEUE: Final = Service(name="default").queue_length
-#: Limits for what targets answer; generous, since targets are the operators' own.
+#: Limits for the responses of targets; generous, since operators run the targets themselves.
 _TARGET_LIMITS: Final = Limits(headers=200, head_bytes=128 * 1024)
 
 
 @frozen
 class Announcement:
-    """What a target says of itself."""
+    """The data that a target announces about itself."""
 
-    #: Service that it answers for.
+    #: Service that the target provides.
     service: str
-    #: Identity, unique on its host.
+    #: Name of the target, unique on its host.
     name: str
-    #: Where it listens.
+    #: Address on which it listens.
     address: Address
-    #: Calls that it runs at once.
+    #: Maximum number of calls that it runs at once.
     slots: int
-    #: Connections that it takes.
+    #: Maximum number of connections that it accepts.
     connections: int
-    #: What it is ready for.
+    #: State of the target.
     state: TargetState = TargetState.READY
-    #: Grows with every announcement of a target, 0 where it is not told; older ones that arrive
-    #: late are passed over.
+    #: Sequence number, which increases with every announcement of a target; 0 if unknown.  Older
+    #: announcements that arrive late are ignored.
     sequence: int = 0
-    #: When it started, in Unix milliseconds by the clock of its host; 0 where it does not tell.
-    #: Counts and knowledge of one start say nothing of another.
+    #: Start time in Unix milliseconds by the clock of its host; 0 if unknown.  Sequence numbers and
+    #: statistics of one start do not apply to another.
     born: int = 0
-    #: Version of its software; empty where it does not tell.
+    #: Software version; empty if unknown.
     version: str = ""
-    #: Seconds for which it is still slow after its start, 0 where it does not tell.
+    #: Seconds for which it will still be slow after its start; 0 if unknown.
     cold_s: float = 0.0
 
     @property
     def start(self) -> Start:
-        """What tells this start of the target from every other."""
+        """The start of the target, which distinguishes it from its other starts."""
         return Start(self.name, self.born)
 
 
 @define(eq=False)
 class TargetConnection:
-    """A connection to a target, with the reader of its answers."""
+    """A connection to a target, with the reader of its responses."""
 
-    #: The connection.
+    #: The byte stream of the connection.
     stream: ByteStream
-    #: Reads answers from it.
+    #: Reads responses from the stream.
     reader: ResponseReader
-    #: When it was last given back.
+    #: When the connection was last returned to the pool.
     idle_since: float = 0.0
 
 
 @define(eq=False)
 class CallAtWork:
-    """A call that the target has begun to run."""
+    """A call that was sent to a target and has not ended."""
 
     #: The call.
     call: Call
-    #: What was held against it when it was sent; `None` for nothing.
+    #: Suspicion against the call when it was sent, or `None`.
     suspicion: Suspicion | None = None
 
 
 @define(eq=False)
-class _Look:
-    """A look whether the target still listens, which all calls that it broke off wait for."""
+class _ListenCheck:
+    """A check whether the target still listens, shared by all calls whose connections broke off."""
 
     done: anyio.Event = field(factory=anyio.Event)
     has_ended: bool = False
 
 
 class LocalTarget:
-    """One target with its gate and its connections."""
+    """A target with its gate and its connection pool."""
 
     def __init__(
         self,
@@ -128,51 +128,52 @@
         self._idle: list[TargetConnection] = []
         self._in_use: set[TargetConnection] = set()
         self._at_work: set[CallAtWork] = set()
-        self._look: _Look | None = None
+        self._listen_check: _ListenCheck | None = None
         self._is_ended = False
         self._blamed: frozenset[CallAtWork] = frozenset()
-        self._is_over = False
+        self._is_withdrawn = False
         self.lease_until = 0.0
 
     @property
     def announcement(self) -> Announcement:
-        """What the target said of itself last."""
+        """The latest announcement of the target."""
         return self._announcement
 
     @property
     def cold_s(self) -> float:
-        """Seconds for which it was still to be slow when it was first heard of.
+        """Seconds for which the target was going to be slow, as of its first announcement.
 
-        It stays as it is while the target warms up, so that others need be told once.
+        The value stays the same during the warm-up, so that it is published only once.
         """
         return self._cold_s
 
     @property
     def gate(self) -> Gate:
-        """Its slots and queue."""
+        """The gate with the slots and the queue of the target."""
         return self._gate
 
     @property
     def at_work(self) -> tuple[CallAtWork, ...]:
-        """Calls that were sent to it and have not ended."""
+        """Calls that were sent to the target and have not ended."""
         return tuple(self._at_work)
 
     @property
     def has_trial(self) -> bool:
-        """Whether it runs a call that is under suspicion."""
+        """Whether the target runs a suspect."""
         return any(each.suspicion is not None for each in self._at_work)
 
     @property
     def blamed(self) -> frozenset[CallAtWork]:
-        """The calls of which one may have ended it; none while it lives.
+        """The calls that may have caused the end of the target; empty while it lives.
 
-        All that were at work, also beside a suspect: with the suspect alone blamed, three fatal
-        requests at once ended up to seven targets each in place of four (modelled mesh).
+        These are all calls that were running, even if one of them was a suspect: if only the
+        suspect is blamed, three fatal requests at the same time end up to seven targets each
+        instead of four (simulated mesh).
         """
         return self._blamed
 
     def note_ended(self) -> bool:
-        """Its process has ended; false where that is known already."""
+        """Record that the process has ended; return false if that was known already."""
         if self._is_ended:
             return False
         self._is_ended = True
@@ -180,70 +181,74 @@
         return True
 
     def begin(self, call: Call, suspicion: Suspicion | None) -> CallAtWork:
-        """A call is sent to it; `finish` must follow."""
-        begun = CallAtWork(call, suspicion)
-        self._at_work.add(begun)
-        return begun
+        """Record that a call is sent to the target; `finish` must follow."""
+        running = CallAtWork(call, suspicion)
+        self._at_work.add(running)
+        return running
 
-    def finish(self, begun: CallAtWork) -> None:
-        """The call has ended, or its connection is given up."""
-        self._at_work.discard(begun)
+    def finish(self, running: CallAtWork) -> None:
+        """Record that a call has ended or that its connection was closed."""
+        self._at_work.discard(running)
 
     async def has_ended(self) -> bool:
-        """Whether nobody listens at its address any more.
+        """Return whether nothing listens at the address of the target any more.
 
-        Asked when it has broken off a connection: a target whose process has ended breaks off all
-        of them, one that cuts an answer short goes on listening.
+        This is checked when the target has broken off a connection.  A process that has ended
+        breaks off all its connections; a target that truncates one response still listens.
         """
-        look = self._look
-        if look is None:
-            look = self._look = _Look()
+        check = self._listen_check
+        if check is None:
+            check = self._listen_check = _ListenCheck()
             try:
-                look.has_ended = await self._is_nobody_there()
+                check.has_ended = await self._has_no_listener()
             finally:
-                self._look = None
-                look.done.set()
+                self._listen_check = None
+                check.done.set()
         else:
-            await look.done.wait()
-        return look.has_ended
+            await check.done.wait()
+        return check.has_ended
 
-    async def _is_nobody_there(self) -> bool:
-        with self._timers.timeout(_LOOK_WITHIN):
+    async def _has_no_listener(self) -> bool:
+        with self._timers.timeout(_CHECK_TIMEOUT_SECONDS):
             try:
                 self.discard(await self.new_connection())
             except NobodyListensError:
                 return True
             except StreamLostError:
-                return False  # no sign that the target is gone: this daemon may be short of sockets
+                return False  # inconclusive: this daemon may have run out of sockets
         return False
 
     def renew(self, announcement: Announcement, queue_length: int) -> None:
-        """Take a newer announcement."""
+        """Apply a newer announcement."""
         if announcement.address != self._announcement.address:
             self.drop_idle()
         self._announcement = announcement
         self.set_queue_length(queue_length)
 
     def set_queue_length(self, queue_length: int) -> None:
-        """Change how many calls may wait."""
+        """Change the queue length, and the slots by the state of the target."""
         slots = self._announcement.slots
         if self._announcement.state is TargetState.STARTING:
-            slots = max(1, slots // _STARTING_DIVISOR)
+            slots = max(1, slots // _STARTING_SLOTS_DIVISOR)
         self._gate.resize(slots=slots, queue_length=queue_length)
 
-    def idle_connection(self, youngest: float = math.inf) -> TargetConnection | None:
-        """A connection that is not in use, `None` when there is none.
+    def idle_connection(self, max_idle_seconds: float = math.inf) -> TargetConnection | None:
+        """Return an idle connection, or `None` if there is none.
 
-        `youngest` bounds for how many seconds it may have been idle.
+        `max_idle_seconds` is the maximum number of seconds for which it may have been idle.
         """
         now = self._timers.now()
         while self._idle:
             idle = self._idle.pop()
-            seconds = now - idle.idle_since
-            if idle.stream.is_lost or idle.stream.has_unread or seconds > _IDLE_FOR:
+            idle_seconds = now - idle.idle_since
+            if (
+                idle.stream.is_lost
+                or idle.stream.has_unread
+                or idle_seconds > _IDLE_TIMEOUT_SECONDS
+            ):
                 idle.stream.abort()
                 continue
-            if seconds <= youngest:
+            if idle_seconds <= max_idle_seconds:
                 self._in_use.add(idle)
                 return idle
             self._idle.append(idle)
@@ -251,7 +256,7 @@
         return None
 
     async def new_connection(self) -> TargetConnection:
-        """A new connection; raises `StreamLostError` when the target is not there."""
+        """Open a connection; raises `StreamLostError` if the target is unreachable."""
         address = self._announcement.address
         stream = await connect(
             address.ip, address.port, traffic=self._traffic, purpose=Purpose.CALLS
@@ -261,46 +266,48 @@
         return connection
 
     def discard(self, connection: TargetConnection) -> None:
-        """Close a connection that is not to be used again."""
+        """Close a connection without reusing it."""
         self._in_use.discard(connection)
         connection.stream.abort()
 
     def give_back(self, connection: TargetConnection) -> None:
-        """Keep a connection whose last answer is whole.
+        """Return a connection to the pool after a complete response.
 
-        Bytes beyond that answer belong to no request, so they end the connection.
+        If bytes follow the response, which belong to no request, the connection is closed.
         """
         self._in_use.discard(connection)
-        most = 0 if self._is_over else min(_IDLE_CONNECTIONS, self._announcement.connections)
+        limit = (
+            0 if self._is_withdrawn else min(_MAX_IDLE_CONNECTIONS, self._announcement.connections)
+        )
         stream = connection.stream
-        has_more = connection.reader.has_pending or stream.has_unread
-        if stream.is_lost or has_more or len(self._idle) >= most:
+        has_extra_bytes = connection.reader.has_pending or stream.has_unread
+        if stream.is_lost or has_extra_bytes or len(self._idle) >= limit:
             stream.close()
         else:
             connection.idle_since = self._timers.now()
             self._idle.append(connection)
 
     def drop_idle(self) -> None:
-        """Close the connections that are not in use."""
+        """Close all idle connections."""
         while self._idle:
             self._idle.pop().stream.close()
 
     def end(self, reason: str) -> None:
-        """Take nothing more: the target is gone from this host.
+        """Stop sending calls, because the target is gone from this host.
 
-        Calls at work there run on until their connections end, since a target that only no longer
-        announces itself may still answer them.
+        Running calls continue until their connections end, since a target that has merely stopped
+        announcing itself may still answer them.
         """
-        self._is_over = True
+        self._is_withdrawn = True
         self._gate.close(reason)
         self.drop_idle()
 
     def cut(self, reason: str) -> None:
-        """End this start at once, because a newer one of the same target has come.
+        """End this start at once, because the target has restarted.
 
-        Its process is gone, so calls at work there will not be answered and their outcome is
-        unknown; what has come of an answer is still delivered.  Without this they would wait for
-        their deadline where the connections of the old process stay silent.
+        The old process is gone, so the outcome of its running calls is unknown, and their
+        connections are closed: otherwise the calls would wait until their deadlines if those
+        connections stay silent.  Responses that have begun to arrive are still delivered.
         """
         self.end(reason)
         for connection in list(self._in_use):
--- a/packages/admission/src/acaciayard_admission/_target_answers.py
+++ b/packages/admission/src/acaciayard_admission/_target_answers.py
@@ -1,4 +1,4 @@
-"""What an answer of a target says of the call, and of the connection that it came on."""
+"""Interprets the answers of targets: refusals, faults, and reuse of the connection."""
 
 from __future__ import annotations
 
@@ -11,41 +11,41 @@
 
 __all__ = ["fault_in", "may_reuse", "refused_by_target"]
 
-#: Statuses that promise that a call has not run; a target must say so in so many words.
-_PROMISING_STATUSES: Final = (408, 421, 429, 503)
-#: Bytes of a body that a target has read with the head when it answers.
-_SURELY_READ: Final = 4096
-#: Seconds that a refused caller is told to wait where the target itself refused.
-_REFUSED_RETRY_AFTER: Final = 0.02
+#: Statuses that imply that a call has not run; a target must state that with the header for it.
+_NOT_RUN_STATUSES: Final = (408, 421, 429, 503)
+#: Bytes of a request body that a target is assumed to have read with the head when it answers.
+_ASSUMED_READ_BYTES: Final = 4096
+#: Retry delay given to the caller of a call that the target itself refused.
+_REFUSED_RETRY_AFTER_SECONDS: Final = 0.02
 
 
 def refused_by_target(status: int, gate: Gate) -> NotRun:
-    """The refusal of a call by a target that the gate had let it through to.
+    """Return the outcome of a call that the gate admitted and the target refused.
 
-    A target that refuses a part of its calls with slots free is not short of slots: its callers may
-    come back at once, while their calls can still be in time.
+    A target that refuses calls while slots are free is not overloaded: the callers may retry at
+    once, while their calls can still meet their deadlines.
     """
     is_full = gate.waiting > 0 or gate.running >= gate.slots
     return NotRun(
         f"the target refused the call with {status}",
-        _REFUSED_RETRY_AFTER,
+        _REFUSED_RETRY_AFTER_SECONDS,
         is_overload=is_full,
         is_by_target=True,
     )
 
 
 def may_reuse(head: ResponseHead, call: Call) -> bool:
-    """Whether the connection may carry another call after this answer.
+    """Return whether the connection may carry another call after this answer.
 
-    A target may refuse a long body before it has read it, and read on later: another call on
-    that connection would wait behind the rest, for a second and more.
+    A target may refuse a long body before it has read all of it, and read the rest later.  Another
+    call on the connection would wait for that, for a second or more.
     """
-    may_be_early = head.status >= 300 and call.length > _SURELY_READ
-    return head.keep_alive and not may_be_early
+    may_precede_body = head.status >= 300 and call.length > _ASSUMED_READ_BYTES
+    return head.keep_alive and not may_precede_body
 
 
 def fault_in(head: ResponseHead, call: Call, dialect: Dialect) -> str:
-    """Why an answer cannot be passed on, empty when it can."""
+    """Return why an answer cannot be forwarded, or an empty string if it can."""
     if dialect.seal and head.status < 300:
         if not first_header(head.headers, dialect.seal):
             return f"the target answered {head.status} without {dialect.seal.decode()}"
@@ -53,7 +53,7 @@
             return f"the target answered {head.status} without saying to which request"
         if first_header(head.headers, b"content-encoding"):
             return "the body of the answer is encoded, though nobody asked for that"
-    is_promise = dialect.not_run and head.status in _PROMISING_STATUSES
-    if is_promise and not call.is_idempotent:
+    claims_not_run = dialect.not_run and head.status in _NOT_RUN_STATUSES
+    if claims_not_run and not call.is_idempotent:
         return f"the target answered {head.status} and does not say that the call has not run"
     return ""
--- a/packages/admission/src/acaciayard_admission/_target_news.py
+++ b/packages/admission/src/acaciayard_admission/_target_news.py
@@ -1,4 +1,4 @@
-"""What a daemon tells of the targets on its host, for logs."""
+"""Events about the targets on this host, for logs."""
 
 from __future__ import annotations
 
@@ -10,51 +10,51 @@
 
 
 class Heard(Enum):
-    """What became of an announcement; the values are the reasons that logs give."""
+    """Result of processing an announcement; the values are the reasons in logs."""
 
-    #: It counts.
+    #: The announcement was accepted.
     TAKEN = "taken"
-    #: It does not say when its target started, though targets here do.
+    #: It has no start time, although targets on this host report theirs.
     WITHOUT_START = "no time of start"
-    #: That start, or a later one, has left.
+    #: That start of the target, or a later one, has left.
     LEFT = "has left"
-    #: A later start of the target is here.
+    #: A later start of the target is known.
     OLDER_START = "older start"
-    #: Something newer of the same start is known.
+    #: A later announcement of the same start is known.
     OLDER_REPORT = "older report"
-    #: A target that started later has its address.
+    #: A target that started later uses the same address.
     ADDRESS_TAKEN = "address of a later start"
-    #: It would take the place of a target here for a service that is not configured.
+    #: It would replace a known target, but its service is not configured.
     UNKNOWN_SERVICE = "unknown service"
 
 
 @frozen
 class CallTold:
-    """A call as logs name it."""
+    """A call as described in logs."""
 
     #: Identity of the attempt.
     request_id: str
-    #: What it asks for, in hexadecimal digits; the same each time that the request comes.
+    #: Fingerprint of the request in hexadecimal; the same whenever the request is repeated.
     fingerprint: str
-    #: Whether it is one of those that may have ended the target.
+    #: Whether the call may have caused the end of the target process.
     is_blamed: bool
 
 
 @frozen
 class TargetNews:
-    """What changes the belief of this daemon in a target, for logs."""
+    """A change in what this daemon knows about a target, for logs."""
 
     #: Name of the target.
     name: str
-    #: When that start began, in Unix milliseconds; 0 where it is not told.
+    #: Start time of the target in Unix milliseconds; 0 if unknown.
     born: int
-    #: What has happened: `announced`, `leaving`, `withdrawn`, `passed_over` or `ended`.
+    #: Kind of event: `announced`, `leaving`, `withdrawn`, `passed_over` or `ended`.
     what: str
-    #: Why; empty where that is plain.
+    #: Reason; empty if the kind of event says it all.
     reason: str = ""
-    #: Count of the announcement that decided it.
+    #: Sequence number of the announcement that caused the event; 0 if unknown.
     sequence: int = 0
-    #: Calls that it ran when it ended.
+    #: Calls that were running when the target process ended.
     at_work: tuple[CallTold, ...] = ()
-    #: Version of its software; empty where it is not told or has been told before.
+    #: Software version of the target; empty if unknown or logged before.
     version: str = ""
--- a/packages/admission/src/acaciayard_admission/_targets.py
+++ b/packages/admission/src/acaciayard_admission/_targets.py
@@ -1,4 +1,4 @@
-"""The targets on this host: announced by themselves, kept while they repeat it."""
+"""Registry of the targets on this host, which announce themselves and renew a lease."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from acaciayard_timers import PauseDetector, TimerService
 from acaciayard_wire import Traffic
 
-from ._line_shares import GatePolicy
+from ._level_shares import GatePolicy
 from ._starts import Start, StartRecords
 from ._suspects import Suspects
 from ._target import DEFAULT_QUEUE, Announcement, CallAtWork, LocalTarget
@@ -19,19 +19,19 @@
 
 __all__ = ["ANNOUNCE_EVERY", "LEASE", "LocalTargets"]
 
-#: Seconds for which an announcement holds.
+#: Time for which an announcement is valid.
 LEASE: Final = 4.0
-#: Seconds between announcements that targets are asked to keep.
+#: Interval at which targets are asked to announce themselves.
 ANNOUNCE_EVERY: Final = 1.0
-#: What stands between the identity of a call and the ending of one that it has made.
-_NESTED: Final = b"."
+#: Separator between the request id of a call and the suffix that identifies a nested call.
+_NESTED_SEPARATOR: Final = b"."
 
 
 class LocalTargets:
-    """All targets on this host.
+    """Registry of all targets on this host.
 
-    `publish` is called with what the other daemons need to know whenever that changes, `tell` with
-    every change of what is believed here.
+    `publish` is called with the state that other daemons need, whenever that changes, and `tell`
+    with an event for each change of a target.
     """
 
     def __init__(
@@ -56,8 +56,8 @@
         self._policy = policy
         self._starts = StartRecords(wall=timers.wall, now=timers.now)
         self._running: dict[bytes, Call] = {}
-        #: Identities of those of them for which a call was made that was not served.
-        self._lack_inner: set[bytes] = set()
+        #: Request ids of those running calls of which a nested call was not served.
+        self._lacking_inner: set[bytes] = set()
         self._timers = timers
         self._traffic = traffic
         self._host = host
@@ -69,47 +69,48 @@
 
     @property
     def all(self) -> tuple[LocalTarget, ...]:
-        """Targets that count as running."""
+        """The registered targets."""
         return tuple(self._targets.values())
 
     @property
     def suspects(self) -> Suspects:
-        """The requests that are suspected of ending targets."""
+        """The requests that are suspected of ending target processes."""
         return self._suspects
 
     @property
     def ended(self) -> int:
-        """Targets whose process has ended while it ran calls, so far."""
+        """Number of targets whose process has ended while it ran calls."""
         return self._ended
 
     def announce(self, announcement: Announcement) -> Heard:
-        """Take an announcement; a new target is published to the other daemons.
+        """Process an announcement, and publish the targets to the other daemons if it is accepted.
 
-        A start that has said once that it leaves never takes calls again, whatever is heard of it
-        later, and neither does one before it.  A newer start of a target ends the older one.
+        Once a start of a target has reported that it is leaving, neither it nor an earlier start
+        ever takes calls again, whatever announcements follow.  A newer start of a target replaces
+        the older one.
         """
-        refused = self._passed_over(announcement)
-        if refused is not None:
-            self._note(announcement, "passed_over", refused.value)
-            return refused
+        ignored = self._ignored_because(announcement)
+        if ignored is not None:
+            self._emit(announcement, "passed_over", ignored.value)
+            return ignored
         self._starts.note(announcement.start)
-        self._end_older(announcement)
+        self._withdraw_older(announcement)
         target = self._targets.get(announcement.name)
         if target is None:
             target = LocalTarget(
                 announcement, timers=self._timers, traffic=self._traffic, policy=self._policy
             )
             self._targets[announcement.name] = target
-            self._note(announcement, "announced")
+            self._emit(announcement, "announced")
         if announcement.sequence and announcement.state is TargetState.DRAINING:
             self.mark_left(announcement.name, born=announcement.born)
         target.renew(announcement, self._queue_length(announcement.service))
         target.lease_until = self._timers.now() + self._lease
-        self._apply(target)
+        self._update_gate(target)
         self._publish_all()
         return Heard.TAKEN
 
-    def _note(self, announcement: Announcement, what: str, reason: str = "") -> None:
+    def _emit(self, announcement: Announcement, what: str, reason: str = "") -> None:
         start = announcement.start
         self._tell(
             TargetNews(
@@ -122,10 +123,10 @@
             )
         )
 
-    def _passed_over(self, announcement: Announcement) -> Heard | None:
-        """Why an announcement changes nothing, `None` where it counts."""
+    def _ignored_because(self, announcement: Announcement) -> Heard | None:
+        """Return why an announcement is ignored, or `None` if it is to be accepted."""
         start = announcement.start
-        if not start.born and self._starts.are_told:
+        if not start.born and self._starts.reports_start_times:
             return Heard.WITHOUT_START
         known = self._targets.get(start.name)
         if known is None:
@@ -134,103 +135,105 @@
         elif start.born < known.announcement.born:
             return Heard.OLDER_START
         elif start == known.announcement.start:
-            is_old = announcement.sequence < known.announcement.sequence
-            return Heard.OLDER_REPORT if is_old else None
-        others = [t for t in self._targets.values() if _has_its_address(t, announcement)]
+            is_stale = announcement.sequence < known.announcement.sequence
+            return Heard.OLDER_REPORT if is_stale else None
+        others = [t for t in self._targets.values() if _has_same_address(t, announcement)]
         if any(other.announcement.born > announcement.born for other in others):
-            # An announcement that a cut held up may come when its sender has crashed and another
-            # target has its address; taken, it would have the living one withdrawn.
+            # An announcement delayed by a network interruption may arrive when its sender has
+            # crashed and another target uses its address.  Accepting it would withdraw the target
+            # that is alive.
             return Heard.ADDRESS_TAKEN
         if (others or known is not None) and not self._is_configured(announcement.service):
             return Heard.UNKNOWN_SERVICE
         return None
 
     def _is_configured(self, service: str) -> bool:
-        """Whether the configuration in force has the service, or there is none yet."""
+        """Return whether the service is configured, or no configuration is in force yet."""
         configuration = self._configuration
         return configuration is None or configuration.find(Service, service) is not None
 
-    def _end_older(self, announcement: Announcement) -> None:
-        """End an earlier start of this target, and what was at its address before."""
+    def _withdraw_older(self, announcement: Announcement) -> None:
+        """Withdraw an earlier start of this target, and other targets at its address."""
         known = self._targets.get(announcement.name)
         if known is not None and known.announcement.start != announcement.start:
             del self._targets[announcement.name]
             known.cut("the target has started again")
-            self._note(known.announcement, "withdrawn", "the target has started again")
+            self._emit(known.announcement, "withdrawn", "the target has started again")
         for other in list(self._targets.values()):
-            if announcement.sequence and _has_its_address(other, announcement):
+            if announcement.sequence and _has_same_address(other, announcement):
                 self.mark_left(other.announcement.name, born=other.announcement.born)
                 self.withdraw(other.announcement.name, "another target has its address")
 
     def note_running(self, call: Call) -> None:
-        """A call runs at a target here."""
+        """Record that a call runs at a target on this host."""
         if call.request_id:
             self._running[call.request_id] = call
 
     def note_ended(self, call: Call) -> None:
-        """The call runs no more."""
+        """Record that a call no longer runs."""
         self._running.pop(call.request_id, None)
-        self._lack_inner.discard(call.request_id)
+        self._lacking_inner.discard(call.request_id)
 
     def note_inner_lost(self, parent: Call) -> None:
-        """A call that a target here made for `parent` was refused, or its answer was lost."""
+        """Record that a nested call of `parent` was refused, or that its answer was lost."""
         if parent.request_id in self._running:
-            self._lack_inner.add(parent.request_id)
+            self._lacking_inner.add(parent.request_id)
 
     def lacks_inner(self, call: Call) -> bool:
-        """Whether a call that was made for the one that runs here was not served."""
-        return call.request_id in self._lack_inner
+        """Return whether a nested call of a running call was not served."""
+        return call.request_id in self._lacking_inner
 
     def note_ended_target(self, target: LocalTarget) -> None:
-        """The process of a target has ended: nobody listens at its address any more.
+        """Withdraw a target whose process has ended, so that nothing listens at its address.
 
-        It is forgotten at once.  Until its lease lapsed each call that chose it cost an offer, and
-        calls were refused with four such offers while other hosts had slots free.
+        It is withdrawn at once and not when its lease expires.  Until then each call that picked it
+        would waste an offer, and calls with four such offers would be refused although other hosts
+        had free slots.
         """
         if target.note_ended():
-            self._tell_end(target)
-            for begun in target.blamed:
-                self._suspects.note_end(begun.call, begun.suspicion)
+            self._emit_end(target)
+            for running in target.blamed:
+                self._suspects.note_end(running.call, running.suspicion)
         name = target.announcement.name
         if self._targets.get(name) is target:
             self.withdraw(name, "its process has ended")
 
-    def _tell_end(self, target: LocalTarget) -> None:
+    def _emit_end(self, target: LocalTarget) -> None:
         start = target.announcement.start
         at_work = target.at_work
         self._ended += bool(at_work)
-        told = tuple(self._told_call(begun, target) for begun in at_work)
-        self._tell(TargetNews(start.name, start.born, "ended", at_work=told))
+        calls = tuple(self._describe_call(running, target) for running in at_work)
+        self._tell(TargetNews(start.name, start.born, "ended", at_work=calls))
 
-    def _told_call(self, begun: CallAtWork, target: LocalTarget) -> CallTold:
+    def _describe_call(self, running: CallAtWork, target: LocalTarget) -> CallTold:
         return CallTold(
-            request_id=begun.call.request_id.decode("latin-1"),
-            fingerprint=self._suspects.fingerprint_of(begun.call).hex(),
-            is_blamed=begun in target.blamed,
+            request_id=running.call.request_id.decode("latin-1"),
+            fingerprint=self._suspects.fingerprint_of(running.call).hex(),
+            is_blamed=running in target.blamed,
         )
 
     def parent_of(self, request_id: bytes) -> Call | None:
-        """The call running here that has made the one with this identity, `None` for none.
+        """Return the running call that made the call with this request id, or `None`.
 
-        Its identity is then that of the running call with an ending of its own: `"7f3a.1"`.
+        The request id of a nested call is that of its parent with a suffix: `"7f3a.1"`.
         """
-        parent, separator, _ = request_id.rpartition(_NESTED)
+        parent, separator, _ = request_id.rpartition(_NESTED_SEPARATOR)
         return self._running.get(parent) if separator else None
 
     @staticmethod
     def is_nested(request_id: bytes) -> bool:
-        """Whether a running call has made the one with this identity, or says that it has."""
-        return _NESTED in request_id
+        """Return whether the request id has the form of a nested call."""
+        return _NESTED_SEPARATOR in request_id
 
     def is_full(self, service: str) -> bool:
-        """Whether all slots of the service's targets here are taken."""
+        """Return whether the least loaded target of the service on this host has no free slot."""
         target = self.pick(service)
         return target is not None and target.gate.load >= 1
 
     def mark_left(self, name: str, *, born: int = 0) -> None:
-        """Remember that a start of a target leaves or has left, also one that is not known here.
+        """Record that a start of a target is leaving or has left, even if it is not registered.
 
-        Without the time of its start the one that is known here is meant.
+        Without a start time this applies to the registered start.
         """
         target = self._targets.get(name)
         if target is not None and not born:
@@ -240,14 +243,14 @@
             self._tell(TargetNews(name, born, "leaving"))
         self._starts.leave(start)
         if target is not None:
-            self._apply(target)
+            self._update_gate(target)
 
     def leave(self, name: str, *, born: int = 0) -> None:
-        """A start of a target has left; a newer one that is here stays.
+        """Record that a start of a target has left; a newer registered start stays.
 
-        It is published as leaving for one lease more, so that the others still know it when this
-        daemon is restarted meanwhile: some targets go on working, and announcing themselves, for
-        seconds after they have said that they leave.
+        It is published as draining for one more lease, so that other daemons know about it if this
+        daemon restarts meanwhile: some targets go on working, and announcing themselves, for
+        seconds after they have reported that they are leaving.
         """
         self.mark_left(name, born=born)
         target = self._targets.get(name)
@@ -256,47 +259,47 @@
             self._publish_all()
 
     def withdraw(self, name: str, reason: str) -> bool:
-        """Forget a target that is gone; false when it was not known."""
+        """Remove a target that is gone; return whether it was registered."""
         target = self._targets.pop(name, None)
         if target is None:
             return False
         target.end(reason)
-        self._note(target.announcement, "withdrawn", reason)
+        self._emit(target.announcement, "withdrawn", reason)
         self._publish_all()
         return True
 
     def settle(self) -> None:
-        """Admit calls: what other daemons know of targets that leave has been heard."""
+        """Start to admit calls, once the other daemons have reported which targets are leaving."""
         if not self._is_settled:
             self._is_settled = True
             for target in self._targets.values():
-                self._apply(target)
+                self._update_gate(target)
             self._publish_all()
 
     def use(self, configuration: Configuration) -> None:
-        """Follow a configuration that was put in force."""
+        """Apply a configuration that has come into force."""
         self._configuration = configuration
         for target in self._targets.values():
             target.set_queue_length(self._queue_length(target.announcement.service))
-            self._apply(target)
+            self._update_gate(target)
         self._publish_all()
 
     def stop(self) -> None:
-        """Admit nothing more at any target, because this daemon shuts down."""
+        """Stop admitting calls at all targets, because this daemon shuts down."""
         self._stopping = True
         for target in self._targets.values():
-            self._apply(target)
+            self._update_gate(target)
         self._publish_all()
 
     def pick(self, service: str) -> LocalTarget | None:
-        """The least loaded target of a service, preferring those that admit calls."""
+        """Return the least loaded target of a service, preferring targets that admit calls."""
         candidates = [t for t in self._targets.values() if t.announcement.service == service]
         if not candidates:
             return None
         return min(candidates, key=lambda t: (t.gate.is_closed, t.gate.load))
 
     async def run(self) -> None:
-        """Drop targets whose announcement has lapsed, for ever."""
+        """Withdraw targets whose lease has expired; runs until cancelled."""
         async for _ in self._timers.ticks(ANNOUNCE_EVERY / 2):
             now = self._timers.now()
             for name in [n for n, t in self._targets.items() if t.lease_until < now]:
@@ -312,15 +315,15 @@
         found = self._configuration.find(Service, service) if self._configuration else None
         return found.queue_length if found is not None else DEFAULT_QUEUE
 
-    def _apply(self, target: LocalTarget) -> None:
-        """Open or close the gate of a target."""
-        reason = self._closed_because(target.announcement)
+    def _update_gate(self, target: LocalTarget) -> None:
+        """Open or close the gate of a target by its state and the configuration."""
+        reason = self._close_reason(target.announcement)
         if reason:
             target.gate.close(reason)
         else:
             target.gate.reopen()
 
-    def _closed_because(self, announcement: Announcement) -> str:
+    def _close_reason(self, announcement: Announcement) -> str:
         if not self._is_settled:
             return "this daemon has just started and does not know yet which targets leave"
         if self._stopping:
@@ -350,7 +353,7 @@
         )
 
     def _state_of(self, target: LocalTarget) -> TargetState:
-        """What the other daemons are told of a target."""
+        """Return the state of a target that is published to other daemons."""
         if self._starts.has_left(target.announcement.start):
             return TargetState.DRAINING
         if target.gate.is_closed and target.announcement.state is not TargetState.DRAINING:
@@ -358,7 +361,7 @@
         return target.announcement.state
 
 
-def _has_its_address(target: LocalTarget, announcement: Announcement) -> bool:
-    """Whether a target of another name has the address that is announced."""
+def _has_same_address(target: LocalTarget, announcement: Announcement) -> bool:
+    """Return whether a target of another name has the announced address."""
     known = target.announcement
     return known.name != announcement.name and known.address == announcement.address
--- a/packages/admission/tests/test_fair_queue.py
+++ b/packages/admission/tests/test_fair_queue.py
@@ -1,4 +1,4 @@
-"""Workspaces that compete for the slots of a target."""
+"""Tests of fair queueing by workspace."""
 
 from __future__ import annotations
 
@@ -28,10 +28,11 @@
             queue.append(Waiter("", number))
         self.assertEqual([queue.popleft(seconds=1.0).number for _ in range(5)], [0, 1, 2, 3, 4])
 
-    def test_a_workspace_with_many_calls_does_not_hold_up_the_others(self) -> None:
-        """One workspace asks at many times its usual rate; 74 others ask as ever.
+    def test_a_workspace_with_many_calls_does_not_delay_the_others(self) -> None:
+        """One workspace sends calls at many times its usual rate, and 74 others as usual.
 
-        Each of the others is to get the next turn but a few, whatever the one has waiting.
+        Calls of the others must be among the next few to be served, however many calls the one has
+        waiting.
         """
         queue: FairQueue[Waiter] = FairQueue()
         for _ in range(40):
@@ -41,18 +42,18 @@
         self.assertEqual(sorted(served(queue, 4)), ["a", "b", "c", "hot"])
 
     def test_turns_are_shared_by_work(self) -> None:
-        """Calls of one workspace take four times as long: it gets a quarter of the turns."""
+        """A workspace whose calls take four times as long gets a quarter of the turns."""
         queue: FairQueue[Waiter] = FairQueue()
         for _ in range(50):
             queue.append(Waiter("long"))
             queue.append(Waiter("short"))
         for _ in range(30):
-            queue.note_took("long", 0.4)
-            queue.note_took("short", 0.1)
+            queue.note_duration("long", 0.4)
+            queue.note_duration("short", 0.1)
         turns = served(queue, 40)
         self.assertLess(abs(turns.count("long") - 8), 2)
 
-    def test_nobody_saves_up_turns_while_nothing_waits(self) -> None:
+    def test_idle_workspace_gains_no_turns(self) -> None:
         queue: FairQueue[Waiter] = FairQueue()
         for _ in range(30):
             queue.append(Waiter("early"))
@@ -62,8 +63,8 @@
         turns = served(queue, 10)
         self.assertLessEqual(abs(turns.count("late") - turns.count("early")), 1)
 
-    def test_leaving_and_coming_back_gains_no_turns(self) -> None:
-        """A workspace that has one call waiting at a time gets no more than one with many."""
+    def test_emptying_the_flow_repeatedly_gains_no_turns(self) -> None:
+        """A workspace with one waiting call at a time gets no more turns than one with many."""
         queue: FairQueue[Waiter] = FairQueue()
         for _ in range(40):
             queue.append(Waiter("many"))
@@ -73,7 +74,7 @@
             turns += served(queue, 2)
         self.assertLessEqual(turns.count("one"), turns.count("many") + 1)
 
-    def test_room_is_made_by_the_workspace_with_the_most_calls(self) -> None:
+    def test_pop_evicts_the_last_call_of_the_workspace_with_the_most_calls(self) -> None:
         queue: FairQueue[Waiter] = FairQueue()
         queue.append(Waiter("few"))
         for number in range(3):
@@ -81,7 +82,7 @@
         evicted = queue.pop()
         self.assertEqual((evicted.workspace, evicted.number), ("many", 2))
 
-    def test_calls_before_one_more_are_counted_by_turns(self) -> None:
+    def test_ahead_of_counts_calls_by_turns(self) -> None:
         queue: FairQueue[Waiter] = FairQueue()
         for _ in range(20):
             queue.append(Waiter("many"))
@@ -94,7 +95,7 @@
             max_size=60,
         )
     )
-    def test_every_call_leaves_once_and_in_order_of_its_workspace(
+    def test_every_call_is_removed_once_and_in_order_of_its_workspace(
         self, steps: list[tuple[str, str]]
     ) -> None:
         queue: FairQueue[Waiter] = FairQueue()
@@ -104,12 +105,12 @@
                 waiting.append(Waiter(name, number))
                 queue.append(waiting[-1])
             elif waiting:
-                left = self.leave(queue, waiting, step)
-                waiting.remove(left)
+                removed = self.remove_one(queue, waiting, step)
+                waiting.remove(removed)
             self.assertEqual(len(queue), len(waiting))
             self.assertTrue(all(each in queue for each in waiting))
 
-    def leave(self, queue: FairQueue[Waiter], waiting: list[Waiter], step: str) -> Waiter:
+    def remove_one(self, queue: FairQueue[Waiter], waiting: list[Waiter], step: str) -> Waiter:
         if step == "drop":
             queue.remove(waiting[0])
             return waiting[0]
--- a/packages/admission/tests/test_gate.py
+++ b/packages/admission/tests/test_gate.py
@@ -1,4 +1,4 @@
-"""The gate of a target."""
+"""Tests of the gate of a target."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
         self.assertTrue(all(isinstance(slot, SlotHeld) for slot in held))
         return held  # type: ignore[return-value]
 
-    def test_lower_classes_leave_slots_to_higher_ones(self) -> None:
+    def test_lower_classes_leave_slots_free_for_higher_ones(self) -> None:
         async def body(gate: Gate, _timers: ManualTimers, _tasks: anyio.abc.TaskGroup) -> None:
             self.take(gate, BULK, 4)
             self.assertIsNone(gate.try_enter(BULK, 100.0))
@@ -74,13 +74,13 @@
 
         self.run_gate(body)
 
-    def test_wait_is_counted_by_turns(self) -> None:
+    def test_expected_wait_follows_the_weights_of_the_classes(self) -> None:
         async def body(gate: Gate, timers: ManualTimers, tasks: anyio.abc.TaskGroup) -> None:
             self.take(gate, INTERACTIVE, 6)
             for _ in range(4):
                 tasks.start_soon(gate.wait, INTERACTIVE, 1000.0)
             await timers.advance(0.001)
-            # Sixteen turns to four: all four calls of the higher class go first.
+            # With weights of 16 and 4, all four calls of the higher class get their slots first.
             late = timers.now() + gate.mean_seconds * 4.5 / 6
             self.assertIsInstance(gate.try_enter(NORMAL, 100.0, late), NotRun)
             in_time = timers.now() + gate.mean_seconds * 5.5 / 6
@@ -88,7 +88,7 @@
 
         self.run_gate(body, queue_length=20)
 
-    def test_no_slot_stands_empty_for_a_body_that_is_on_its_way(self) -> None:
+    def test_reservation_occupies_no_slot(self) -> None:
         async def body(gate: Gate, timers: ManualTimers, _tasks: anyio.abc.TaskGroup) -> None:
             reserved = [gate.reserve(INTERACTIVE, 100.0, timers.now()) for _ in range(7)]
             self.assertTrue(all(isinstance(each, Reservation) for each in reserved[:6]))
@@ -97,7 +97,7 @@
 
         self.run_gate(body)
 
-    def test_reservations_count_as_calls_that_wait(self) -> None:
+    def test_reservations_count_as_waiting_calls(self) -> None:
         async def body(gate: Gate, timers: ManualTimers, _tasks: anyio.abc.TaskGroup) -> None:
             self.take(gate, INTERACTIVE, 6)
             reserved = [gate.reserve(INTERACTIVE, 100.0) for _ in range(6)]
@@ -111,7 +111,7 @@
 
         self.run_gate(body, queue_length=20)
 
-    def test_classes_are_waited_for_by_what_their_own_calls_take(self) -> None:
+    def test_expected_wait_uses_the_mean_duration_of_each_class(self) -> None:
         async def body(gate: Gate, timers: ManualTimers, _tasks: anyio.abc.TaskGroup) -> None:
             for priority, seconds in ((INTERACTIVE, 0.01), (BULK, 1.0)) * 60:
                 (held,) = self.take(gate, priority, 1)
@@ -132,7 +132,7 @@
 
         self.run_gate(body)
 
-    def test_a_workspace_far_beyond_its_share_waits_behind_itself(self) -> None:
+    def test_a_workspace_with_many_calls_does_not_delay_the_others(self) -> None:
         async def body(gate: Gate, timers: ManualTimers, tasks: anyio.abc.TaskGroup) -> None:
             self.take(gate, NORMAL, 5)
             for _ in range(12):
@@ -148,7 +148,7 @@
 
         self.run_gate(body, queue_length=40)
 
-    def test_inner_calls_go_first_and_leave_the_others_their_part(self) -> None:
+    def test_nested_calls_go_first_and_leave_the_others_their_share(self) -> None:
         async def body(gate: Gate, timers: ManualTimers, tasks: anyio.abc.TaskGroup) -> None:
             admitted: list[str] = []
 
@@ -168,12 +168,12 @@
             for _ in range(66):
                 await timers.advance(0.1)
             self.assertEqual(admitted[:5].count("inner"), 4)
-            # One turn of 33 each, and the first one, to which nobody had a better claim.
+            # One of every 33 turns, and one at the start, when the virtual starts are equal.
             self.assertEqual(admitted[:66].count("bulk"), 3)
 
         self.run_gate(body, slots=1, queue_length=400)
 
-    def test_waits_are_counted_also_of_calls_that_get_no_slot(self) -> None:
+    def test_waited_seconds_include_calls_that_get_no_slot(self) -> None:
         async def body(gate: Gate, timers: ManualTimers, tasks: anyio.abc.TaskGroup) -> None:
             (running,) = self.take(gate, BULK, 1)
             tasks.start_soon(partial(gate.wait, BULK, 1000.0, workspace="north"))
@@ -214,7 +214,7 @@
 
         self.run_gate(body, queue_length=200)
 
-    def test_full_queue_refuses_at_once_and_higher_classes_displace_lower_ones(self) -> None:
+    def test_full_queue_refuses_at_once_and_higher_classes_evict_lower_ones(self) -> None:
         async def body(gate: Gate, timers: ManualTimers, tasks: anyio.abc.TaskGroup) -> None:
             refused: list[NotRun] = []
 
@@ -236,7 +236,7 @@
 
         self.run_gate(body)
 
-    def test_lower_class_keeps_its_places_in_a_queue_full_of_higher_ones(self) -> None:
+    def test_lower_class_keeps_its_reserved_places_in_a_full_queue(self) -> None:
         async def body(gate: Gate, timers: ManualTimers, tasks: anyio.abc.TaskGroup) -> None:
             outcomes: list[object] = []
 
@@ -266,7 +266,7 @@
 
         self.run_gate(body)
 
-    def test_closing_refuses_what_waits_and_leaves_what_runs(self) -> None:
+    def test_closing_refuses_waiting_calls_and_keeps_running_ones(self) -> None:
         async def body(gate: Gate, timers: ManualTimers, tasks: anyio.abc.TaskGroup) -> None:
             outcomes: list[object] = []
 
@@ -285,7 +285,7 @@
 
         self.run_gate(body)
 
-    def test_cancelled_waiter_loses_no_slot(self) -> None:
+    def test_cancelled_waiter_leaks_no_slot(self) -> None:
         async def body(gate: Gate, timers: ManualTimers, tasks: anyio.abc.TaskGroup) -> None:
             running = self.take(gate, INTERACTIVE, 6)
             with anyio.CancelScope() as scope:
