--- a/packages/spread/src/acaciayard_spread/__init__.py
+++ b/packages/spread/src/acaciayard_spread/__init__.py
@@ -1,9 +1,12 @@
-"""Spreading: every accepted version on every daemon, in order, whole and never back."""
+"""Replication of the configuration: every accepted version reaches every daemon, in order.
 
-from ._census import Census
+Versions are put in force as a whole, and never an older one after a newer one.
+"""
+
+from ._census import StatusCollector
 from ._feeder import CONFIGURATION_STREAM, Feeder, LogState
 from ._holder import AcceptedChange, Holder
-from ._links import LinkKeeper
+from ._links import SessionManager
 from ._messages import SPREAD_MESSAGES, StatusAnswer
 from ._recovery import HeadReader, Recovery, RecoveryState
 from ._service import Spread, spread
@@ -18,11 +21,11 @@
     "SPREAD_MESSAGES",
     "WITNESSES",
     "AcceptedChange",
-    "Census",
+    "StatusCollector",
     "Feeder",
     "HeadReader",
     "Holder",
-    "LinkKeeper",
+    "SessionManager",
     "LogState",
     "Recovery",
     "RecoveryState",
--- a/packages/spread/src/acaciayard_spread/_census.py
+++ b/packages/spread/src/acaciayard_spread/_census.py
@@ -1,4 +1,4 @@
-"""Asks all daemons how far they are."""
+"""Queries the replication status of other daemons."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 
 from ._messages import StatusAnswer, StatusQuery
 
-__all__ = ["Census"]
+__all__ = ["StatusCollector"]
 
-#: Queries sent before the event loop gets its turn.
-_BURST: Final = 32
-#: Times that a query is sent to those that have not answered.
-_ROUNDS: Final = 3
+#: Queries sent between two yields to the event loop.
+_QUERIES_PER_YIELD: Final = 32
+#: Number of times that a query is sent to daemons that have not answered.
+_MAX_ROUNDS: Final = 3
 
 
-class Census:
-    """Sends a query to many daemons by datagrams and gathers the answers.
+class StatusCollector:
+    """Sends a status query to many daemons by datagram and collects the answers.
 
     Example:
 
@@ -43,45 +43,45 @@
         self._timers = timers
         self._answer = answer
         self._numbers = itertools.count(1)
-        self._running: dict[int, dict[str, StatusAnswer]] = {}
-        self._answered: dict[int, anyio.Event] = {}
+        self._answers: dict[int, dict[str, StatusAnswer]] = {}
+        self._complete: dict[int, anyio.Event] = {}
         self._expected: dict[int, int] = {}
         port.on_datagram(StatusQuery, self._on_query)
         port.on_datagram(StatusAnswer, self._on_answer)
 
     async def ask(self, members: Iterable[Member], *, within: float) -> dict[str, StatusAnswer]:
-        """Answers by host of those that answered in `within` seconds."""
+        """The answers received within `within` seconds, by host."""
         asked = list(members)
         number = next(self._numbers)
         answers: dict[str, StatusAnswer] = {}
-        self._running[number] = answers
-        self._answered[number] = anyio.Event()
+        self._answers[number] = answers
+        self._complete[number] = anyio.Event()
         self._expected[number] = len(asked)
         try:
-            for _ in range(_ROUNDS):
+            for _ in range(_MAX_ROUNDS):
                 await self._send(number, [m for m in asked if m.host not in answers])
-                with self._timers.timeout(within / _ROUNDS):
-                    await self._answered[number].wait()
+                with self._timers.timeout(within / _MAX_ROUNDS):
+                    await self._complete[number].wait()
                 if len(answers) >= len(asked):
                     break
         finally:
-            for book in (self._running, self._answered, self._expected):
-                book.pop(number, None)
+            for mapping in (self._answers, self._complete, self._expected):
+                mapping.pop(number, None)
         return answers
 
     async def _send(self, number: int, members: list[Member]) -> None:
         for index, member in enumerate(members):
             self._port.send_datagram(StatusQuery(number), member.control)
-            if index % _BURST == _BURST - 1:
+            if index % _QUERIES_PER_YIELD == _QUERIES_PER_YIELD - 1:
                 await anyio.lowlevel.checkpoint()
 
     def _on_query(self, query: StatusQuery, sender: Address) -> None:
         self._port.send_datagram(self._answer(query.number), sender)
 
     def _on_answer(self, answer: StatusAnswer, _sender: Address) -> None:
-        answers = self._running.get(answer.number)
+        answers = self._answers.get(answer.number)
         if answers is None:
             return
         answers[answer.host] = answer
         if len(answers) >= self._expected[answer.number]:
-            self._answered[answer.number].set()
+            self._complete[answer.number].set()
--- a/packages/spread/src/acaciayard_spread/_feeder.py
+++ b/packages/spread/src/acaciayard_spread/_feeder.py
@@ -1,4 +1,4 @@
-"""Reads the configuration stream of the log where this daemon is one of the feeders."""
+"""Reads the configuration stream of the log on the daemons that are feeders."""
 
 from __future__ import annotations
 
@@ -18,36 +18,37 @@
 
 __all__ = ["CONFIGURATION_STREAM", "Feeder", "LogState"]
 
-#: The stream that holds proposals and snapshots.
+#: Name of the log stream that holds proposals and snapshots.
 CONFIGURATION_STREAM: Final = "configuration"
-#: Records asked for at once.
-_LIMIT: Final = 512
-#: Seconds that the log may wait for a new record.
+#: Maximum of records per read.
+_MAX_RECORDS: Final = 512
+#: Seconds that a long poll may wait for a new record.
 _LONG_POLL: Final = 10.0
-#: Seconds by which changes of membership are gathered before the role is looked at again.
-_SETTLE: Final = 0.2
-#: Seconds before another try while the log does not answer.
-_RETRY: Final = 0.5
+#: Seconds to wait after a membership change before the role is evaluated again, so that further
+#: changes are handled together.
+_SETTLE_DELAY: Final = 0.2
+#: Mean seconds before a retry while the log does not answer.
+_RETRY_DELAY: Final = 0.5
 
 
 class LogState:
-    """What this daemon last heard of the log."""
+    """Outcome of this daemon's latest request to the log."""
 
     def __init__(self) -> None:
         self._reason = ""
 
     @property
     def reason(self) -> str:
-        """Why the log is not usable, empty when it is."""
+        """Why the log is unavailable; empty if it is available."""
         return self._reason
 
-    def note(self, reason: str) -> None:
-        """Remember the outcome of an attempt; empty for success."""
+    def set_reason(self, reason: str) -> None:
+        """Store the reason of a failed request, or an empty text after a success."""
         self._reason = reason
 
 
 class Feeder:
-    """Follows the log by long polls while this daemon is a feeder of its failure domain."""
+    """Follows the log by long polling while this daemon is a feeder of its failure domain."""
 
     def __init__(
         self,
@@ -72,7 +73,7 @@
 
     @property
     def is_active(self) -> bool:
-        """Whether this daemon reads the log."""
+        """Whether this daemon is a feeder at present."""
         return is_feeder(self._table.own, self._table.present())
 
     def _on_member(self, before: Member | None, now: Member) -> None:
@@ -80,14 +81,14 @@
             self._members_changed.notify()
 
     async def run(self) -> None:
-        """Read for ever, whenever this daemon is a feeder."""
+        """Read the log whenever this daemon is a feeder, until cancelled."""
         while True:
             seen = self._members_changed.count
             if self.is_active:
                 await self._read_while_active()
             else:
                 await self._members_changed.wait_beyond(seen)
-                await self._timers.sleep(_SETTLE)
+                await self._timers.sleep(_SETTLE_DELAY)
 
     async def _read_while_active(self) -> None:
         async with anyio.create_task_group() as tasks:
@@ -95,7 +96,7 @@
             seen = self._members_changed.count
             while self.is_active:
                 seen = await self._members_changed.wait_beyond(seen)
-                await self._timers.sleep(_SETTLE)
+                await self._timers.sleep(_SETTLE_DELAY)
             tasks.cancel_scope.cancel()
 
     async def _follow(self) -> None:
@@ -105,52 +106,58 @@
     async def _read_once(self) -> None:
         position = self._holder.position
         match await self._log.read(
-            CONFIGURATION_STREAM, start=position, limit=_LIMIT, wait=_LONG_POLL
+            CONFIGURATION_STREAM, start=position, limit=_MAX_RECORDS, wait=_LONG_POLL
         ):
             case Slice(records, bounds):
-                self._state.note(self._strange(bounds))
-                taken = self._holder.take_records(position, [r.payload for r in records])
+                self._state.set_reason(self._describe_mismatch(bounds))
+                folded = self._holder.fold_records(position, [r.payload for r in records])
                 self._witnesses.evaluate()
-                if records and not taken and self._holder.position <= position:
-                    await self._timers.sleep(_RETRY)
+                if records and not folded and self._holder.position <= position:
+                    await self._timers.sleep(_RETRY_DELAY)
                 if bounds.head < position:
-                    await self._timers.sleep(_RETRY)
+                    await self._timers.sleep(_RETRY_DELAY)
             case Expired(bounds):
                 await self._bootstrap(bounds)
             case Unavailable(reason):
-                self._state.note(reason)
-                await self._timers.sleep(_RETRY * self._seed.uniform(0.5, 1.5))
+                self._state.set_reason(reason)
+                await self._timers.sleep(_RETRY_DELAY * self._seed.uniform(0.5, 1.5))
 
-    def _strange(self, bounds: Bounds) -> str:
+    def _describe_mismatch(self, bounds: Bounds) -> str:
         if bounds.head < self._holder.position:
-            return f"the log ends at {bounds.head}, but {self._holder.position} is held already"
+            return (
+                f"the log ends at {bounds.head}, before position {self._holder.position} held here"
+            )
         return ""
 
     async def _bootstrap(self, bounds: Bounds) -> None:
-        """Start from the best snapshot that the log keeps, when it leaves no gap."""
-        best: SnapshotRecord | None = None
+        """Install the newest snapshot in the log that no missing record follows."""
+        newest: SnapshotRecord | None = None
         offset = bounds.first
         while offset < bounds.head:
-            match await self._log.read(CONFIGURATION_STREAM, start=offset, limit=_LIMIT, wait=0.0):
+            match await self._log.read(
+                CONFIGURATION_STREAM, start=offset, limit=_MAX_RECORDS, wait=0.0
+            ):
                 case Slice(records, _) if records:
                     for record in records:
-                        best = _better(best, decode_record(record.payload), bounds)
+                        newest = _newer_snapshot(newest, decode_record(record.payload), bounds)
                     offset = records[-1].offset + 1
                 case _:
                     break
-        if best is not None and self._holder.take_snapshot(best):
-            self._state.note("")
+        if newest is not None and self._holder.install_snapshot(newest):
+            self._state.set_reason("")
             self._witnesses.evaluate()
             return
-        self._state.note(
+        self._state.set_reason(
             f"records {self._holder.position} to {bounds.first} have expired and no snapshot"
             " in the log covers them; waiting for a daemon that holds them"
         )
-        await self._timers.sleep(_RETRY)
+        await self._timers.sleep(_RETRY_DELAY)
 
 
-def _better(best: SnapshotRecord | None, found: Record, bounds: Bounds) -> SnapshotRecord | None:
-    """The snapshot that says more of two, of those after which no record is missing."""
+def _newer_snapshot(
+    newest: SnapshotRecord | None, found: Record, bounds: Bounds
+) -> SnapshotRecord | None:
+    """The newer one of two snapshots; ignores records that leave a gap or are no snapshots."""
     if not isinstance(found, SnapshotRecord) or found.position < bounds.first:
-        return best
-    return found if best is None or found.position > best.position else best
+        return newest
+    return found if newest is None or found.position > newest.position else newest
--- a/packages/spread/src/acaciayard_spread/_messages.py
+++ b/packages/spread/src/acaciayard_spread/_messages.py
@@ -1,4 +1,4 @@
-"""Messages between the spreading parts of daemons."""
+"""Messages of the replication protocol."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     "RecordBatch",
     "StatusAnswer",
     "StatusQuery",
-    "Whole",
+    "FullState",
 ]
 
 
@@ -27,9 +27,9 @@
     host: str
     #: Log position that it holds.
     position: int
-    #: Digest of the chain up to that position.
+    #: Digest of the hash chain up to that position.
     digest: bytes
-    #: Position that enough daemons are known to hold.
+    #: Position up to which enough daemons are known to hold all records.
     confirmed: int
 
 
@@ -37,44 +37,44 @@
 class RecordBatch:
     """Consecutive records of the configuration stream."""
 
-    #: Offset of the first one.
+    #: Offset of the first record.
     start: int
-    #: Their bytes.
+    #: Encoded records.
     payloads: list[bytes]
-    #: Position that enough daemons are known to hold.
+    #: Position up to which enough daemons are known to hold all records.
     confirmed: int
 
 
 @frozen
-class Whole:
-    """The whole state, for a peer that is too far behind for records."""
+class FullState:
+    """The full state, for a peer that lags too far behind to be sent records."""
 
-    #: A packed snapshot record.
+    #: An encoded snapshot record.
     snapshot: bytes
-    #: Position that enough daemons are known to hold.
+    #: Position up to which enough daemons are known to hold all records.
     confirmed: int
 
 
 @frozen
 class Progress:
-    """The sender has advanced without sending anything that says so."""
+    """The sender's position, sent when it has advanced and has no records for the receiver."""
 
-    #: Log position that it holds.
+    #: Log position that the sender holds.
     position: int
-    #: Position that enough daemons are known to hold.
+    #: Position up to which enough daemons are known to hold all records.
     confirmed: int
 
 
 @frozen
 class HeadRequest:
-    """What is the head of the log, read after this request?"""
+    """Asks for the head of the log, read after this request."""
 
 
 @frozen
 class HeadAnswer:
-    """The head of the log."""
+    """Answers a `HeadRequest`."""
 
-    #: Offset of the next record; -1 when the log did not answer.
+    #: Offset of the next record; -1 if the log did not answer.
     head: int
     #: Why the log did not answer.
     reason: str
@@ -82,15 +82,15 @@
 
 @frozen
 class StatusQuery:
-    """How far are you?"""
+    """Asks for a daemon's replication status."""
 
-    #: Chosen by the asker; the answer carries it back.
+    #: Chosen by the sender; the answer repeats it.
     number: int
 
 
 @frozen
 class StatusAnswer:
-    """How far a daemon is."""
+    """Replication status of a daemon."""
 
     #: Number of the query.
     number: int
@@ -98,16 +98,16 @@
     host: str
     #: Log position that it holds.
     position: int
-    #: Version that it has in force; -1 when none yet.
+    #: Version that it has in force; -1 if there is none yet.
     in_force: int
-    #: Whether it knows that it is not behind what it ran before its last start.
+    #: Whether it has recovered: it is not behind what it had in force before its last start.
     recovered: bool
 
 
 SPREAD_MESSAGES: Final[dict[int, type]] = {
     20: Hello,
     21: RecordBatch,
-    22: Whole,
+    22: FullState,
     23: Progress,
     24: HeadRequest,
     25: HeadAnswer,
--- a/packages/spread/src/acaciayard_spread/_recovery.py
+++ b/packages/spread/src/acaciayard_spread/_recovery.py
@@ -1,8 +1,9 @@
-"""After a start: how far this host may have been before it.
+"""Recovery after a start: finds the position that this host may have reached before.
 
-With the log reachable the answer is its head: whatever ran here came from before it.  The head is
-asked of a feeder, which reads it once for all who ask at one time, so that a herd of restarting
-daemons is no herd of readers.  With the log out only other daemons can tell; see `Witnesses`.
+While the log is available, this is its head: every version that was in force here lies before it.
+Daemons request the head from a feeder, which shares one read among concurrent requests, so that a
+mass restart causes few reads of the log.  While the log is unavailable, only other daemons know the
+position; see `Witnesses`.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 from acaciayard_timers import Signal, TimerService
 from acaciayard_wire import ControlPort, MessageError, MessageStream, Purpose, StreamLostError
 
-from ._census import Census
+from ._census import StatusCollector
 from ._feeder import CONFIGURATION_STREAM, LogState
 from ._holder import Holder
 from ._messages import HeadAnswer, HeadRequest
@@ -27,26 +28,26 @@
 
 __all__ = ["HeadReader", "Recovery", "RecoveryState"]
 
-#: Seconds for the answer of a feeder.
-_HEAD_WITHIN: Final = 2.0
-#: Seconds between two reads of the head.
-_APART: Final = 0.25
-#: Seconds for the answers of all daemons.
-_CENSUS_WITHIN: Final = 1.0
-#: Seconds before another try.
-_RETRY: Final = 0.5
-#: Seconds to meet other daemons before going on alone.
-_JOIN_WITHIN: Final = 5.0
-#: Seconds for which no new daemon must have been seen before the view counts as whole, and
-#: seconds after which it is used as it is.
-_QUIET_FOR: Final = 1.0
-_SETTLE_WITHIN: Final = 5.0
+#: Timeout for the answer of a feeder, in seconds.
+_HEAD_TIMEOUT: Final = 2.0
+#: Minimum of seconds between two reads of the head.
+_MIN_READ_INTERVAL: Final = 0.25
+#: Timeout for the answers of all daemons, in seconds.
+_STATUS_TIMEOUT: Final = 1.0
+#: Mean seconds before a retry.
+_RETRY_DELAY: Final = 0.5
+#: Seconds to try to join the mesh before recovery continues without it.
+_JOIN_TIMEOUT: Final = 5.0
+#: Mean seconds without a new member after which the view of the mesh counts as complete.
+_SETTLE_DELAY: Final = 1.0
+#: Seconds after which the view is used even if it still grows.
+_SETTLE_TIMEOUT: Final = 5.0
 
 
 class HeadReader:
-    """Reads the head of the log, once for all who ask before the read starts.
+    """Reads the head of the log, once for all requests that arrive before the read starts.
 
-    Reads are a little apart, so that those who ask in a herd share them.
+    A minimum time between two reads lets requests that arrive in a burst share one.
     """
 
     def __init__(self, log: LogService, state: LogState, timers: TimerService) -> None:
@@ -57,48 +58,48 @@
         self._lock = anyio.Lock()
         self._started = 0
         self._last: HeadAnswer = HeadAnswer(-1, "not read yet")
-        self._done = Signal()
+        self._completed = Signal()
 
     async def read(self) -> HeadAnswer:
-        """The head as read by a request that started after this call."""
+        """The head of the log, from a read that started after this call."""
         needed = self._started + 1
         async with self._lock:
-            if self._done.count < needed:
+            if self._completed.count < needed:
                 await self._timers.sleep(self._next_at - self._timers.now())
-                self._next_at = self._timers.now() + _APART
+                self._next_at = self._timers.now() + _MIN_READ_INTERVAL
                 self._started += 1
-                self._last = await self._ask()
-                self._done.notify()
+                self._last = await self._read_bounds()
+                self._completed.notify()
             return self._last
 
-    async def _ask(self) -> HeadAnswer:
+    async def _read_bounds(self) -> HeadAnswer:
         bounds = await self._log.bounds(CONFIGURATION_STREAM)
         if isinstance(bounds, Unavailable):
-            self._state.note(bounds.reason)
+            self._state.set_reason(bounds.reason)
             return HeadAnswer(-1, bounds.reason)
-        self._state.note("")
+        self._state.set_reason("")
         return HeadAnswer(bounds.head, "")
 
 
 @frozen
 class RecoveryState:
-    """How far recovery is."""
+    """Progress of recovery."""
 
-    #: Whether it is over.
+    #: Whether recovery has finished.
     is_done: bool
-    #: What it waits for, or how it ended.
+    #: What it is waiting for, or how it ended.
     reason: str
 
 
 class Recovery:
-    """Finds the floor of the holder after a start."""
+    """Determines the floor of the replica after a start."""
 
     def __init__(
         self,
         *,
         holder: Holder,
         members: Membership,
-        census: Census,
+        census: StatusCollector,
         heads: HeadReader,
         port: ControlPort,
         timers: TimerService,
@@ -117,7 +118,7 @@
 
     @property
     def state(self) -> RecoveryState:
-        """How far recovery is."""
+        """Progress of recovery."""
         if self._state.is_done or self._holder.floor is None:
             return self._state
         return RecoveryState(
@@ -128,52 +129,52 @@
 
     @property
     def joined(self) -> anyio.Event:
-        """Set once the others have been met, or the time for it is over."""
+        """Set once this daemon has joined the mesh or given up on it, and its view has settled."""
         return self._joined
 
     async def run(self) -> None:
         """Recover; returns when a configuration is in force."""
-        await self._members.join(within=_JOIN_WITHIN)
-        await self._settle()
+        await self._members.join(within=_JOIN_TIMEOUT)
+        await self._wait_until_settled()
         self._joined.set()
         while self._holder.floor is None:
             floor = await self._find_floor()
             if floor is not None:
                 self._holder.set_floor(floor)
             else:
-                await self._timers.sleep(_RETRY * self._seed.uniform(0.5, 1.5))
+                await self._timers.sleep(_RETRY_DELAY * self._seed.uniform(0.5, 1.5))
         while self._holder.in_force is None:
             seen = self._holder.changed.count
             if self._holder.in_force is None:
                 await self._holder.changed.wait_beyond(seen)
         self._state = RecoveryState(is_done=True, reason=f"floor {self._holder.floor}")
 
-    async def _settle(self) -> None:
-        """Wait until the view of the mesh has stopped to grow.
+    async def _wait_until_settled(self) -> None:
+        """Wait until the view of the mesh has stopped growing.
 
-        When all daemons start at once the first ones see few others; acting on such a view, each
-        would take itself for a feeder and read the log.
+        When all daemons start at once, the first ones see few others.  With such a partial view
+        each would consider itself a feeder and read the log.
         """
         table = self._members.table
-        with self._timers.timeout(_SETTLE_WITHIN):
+        with self._timers.timeout(_SETTLE_TIMEOUT):
             seen = 1
             while table.present_count > seen:
                 seen = table.present_count
-                await self._timers.sleep(_QUIET_FOR * self._seed.uniform(0.8, 1.2))
+                await self._timers.sleep(_SETTLE_DELAY * self._seed.uniform(0.8, 1.2))
 
     async def _find_floor(self) -> int | None:
-        head = await self._ask_head()
+        head = await self._request_head()
         if head.head >= 0:
             return head.head
-        return await self._ask_members(head.reason)
+        return await self._query_members(head.reason)
 
-    async def _ask_head(self) -> HeadAnswer:
+    async def _request_head(self) -> HeadAnswer:
         table = self._members.table
         if is_feeder(table.own, table.present()):
             return await self._heads.read()
         answer = HeadAnswer(-1, "no feeder answered")
         for feeder in feeders_of(table.own.domain, table.present()):
-            with self._timers.timeout(_HEAD_WITHIN):
+            with self._timers.timeout(_HEAD_TIMEOUT):
                 try:
                     stream = await self._port.connect(feeder.control, Purpose.SPREAD)
                     try:
@@ -192,22 +193,24 @@
     async def _serve_head(self, _request: HeadRequest, stream: MessageStream) -> None:
         await stream.send(await self._heads.read())
 
-    async def _ask_members(self, log_reason: str) -> int | None:
-        """The floor by what other daemons hold, `None` when too few of them can tell.
+    async def _query_members(self, log_reason: str) -> int | None:
+        """The floor according to other daemons, or `None` if too few of them know it.
 
-        A version that ran here was held by `WITNESSES` others.  One of them is among those that
-        answer when fewer than `WITNESSES` of all known daemons are silent or know nothing.
+        A version that was in force here was held by `WITNESSES` others.  At least one of these is
+        among the daemons that answer if fewer than `WITNESSES` of all known daemons do not answer
+        or have not recovered themselves.
         """
         table = self._members.table
         others = [m for m in (*table.present(), *table.lost()) if m.host != table.own.host]
-        answers = await self._census.ask(others, within=_CENSUS_WITHIN)
-        told = [answer for answer in answers.values() if answer.recovered]
-        silent = len(others) - len(told)
-        if told and silent < min(WITNESSES, len(others)):
-            return max(answer.position for answer in told)
+        answers = await self._census.ask(others, within=_STATUS_TIMEOUT)
+        known = [answer for answer in answers.values() if answer.recovered]
+        unknown = len(others) - len(known)
+        if known and unknown < min(WITNESSES, len(others)):
+            return max(answer.position for answer in known)
         self._state = RecoveryState(
             is_done=False,
-            reason=f"the log is out ({log_reason}) and {silent} of {len(others)} other daemons"
-            " cannot tell which version this host has run; not serving so as not to go back",
+            reason=f"the log is unavailable ({log_reason}) and {unknown} of {len(others)} other"
+            " daemons cannot tell which version this host had in force;"
+            " not serving, to avoid an older one",
         )
         return None
--- a/packages/spread/src/acaciayard_spread/_service.py
+++ b/packages/spread/src/acaciayard_spread/_service.py
@@ -1,4 +1,4 @@
-"""The spreading part of one daemon, put together."""
+"""The replication service of one daemon, composed of its parts."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 from acaciayard_timers import TimerService
 from acaciayard_wire import ControlPort
 
-from ._census import Census
+from ._census import StatusCollector
 from ._feeder import Feeder, LogState
 from ._holder import Holder
-from ._links import LinkKeeper
+from ._links import SessionManager
 from ._messages import StatusAnswer
 from ._recovery import HeadReader, Recovery
 from ._session import SessionContext
@@ -26,7 +26,7 @@
 
 
 class Spread:
-    """Brings this daemon every accepted version and helps to bring it to the others."""
+    """Replicates accepted versions to this daemon and from it to others."""
 
     def __init__(
         self,
@@ -44,7 +44,7 @@
         table = members.table
         witnesses = Witnesses(holder, table, timers)
         self._context = SessionContext(table.own.host, holder, witnesses)
-        self._links = LinkKeeper(
+        self._links = SessionManager(
             context=self._context, members=members, port=port, timers=timers, seed=seed
         )
         self._feeder = Feeder(
@@ -56,7 +56,7 @@
             timers=timers,
             seed=seed,
         )
-        self._census = Census(port=port, timers=timers, answer=self._status)
+        self._census = StatusCollector(port=port, timers=timers, answer=self._status)
         self._recovery = Recovery(
             holder=holder,
             members=members,
@@ -72,22 +72,22 @@
 
     @property
     def holder(self) -> Holder:
-        """What this daemon holds."""
+        """The replica of the configuration stream on this daemon."""
         return self._holder
 
     @property
     def recovery(self) -> Recovery:
-        """How far this daemon has recovered from its start."""
+        """The recovery of this daemon after its start."""
         return self._recovery
 
     @property
-    def census(self) -> Census:
-        """Asks the other daemons how far they are."""
+    def census(self) -> StatusCollector:
+        """Queries the replication status of other daemons."""
         return self._census
 
     @property
-    def links(self) -> LinkKeeper:
-        """The sessions upstream."""
+    def links(self) -> SessionManager:
+        """The upstream sessions."""
         return self._links
 
     @property
@@ -102,17 +102,17 @@
 
     @property
     def log_reason(self) -> str:
-        """Why the log is not usable as far as this daemon knows, empty when it is."""
+        """Why the log is unavailable, as far as this daemon knows; empty if it is available."""
         return self._log_state.reason
 
     async def run(self) -> None:
-        """Spread for ever."""
+        """Replicate until cancelled."""
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._links.run)
-            tasks.start_soon(self._recover_and_feed)
+            tasks.start_soon(self._recover_and_follow_log)
             tasks.start_soon(self._snapshots.run)
 
-    async def _recover_and_feed(self) -> None:
+    async def _recover_and_follow_log(self) -> None:
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._recovery.run)
             await self._recovery.joined.wait()
@@ -138,7 +138,7 @@
     invariants: Invariants,
     snapshots: SnapshotSettings,
 ) -> Spread:
-    """The spreading part of the daemon that `members` belongs to."""
+    """Build the replication service of the daemon that `members` belongs to."""
     return Spread(
         holder=Holder(invariants),
         members=members,
--- a/packages/spread/src/acaciayard_spread/_snapshots.py
+++ b/packages/spread/src/acaciayard_spread/_snapshots.py
@@ -1,4 +1,4 @@
-"""Writes snapshots into the log before the records that they replace expire."""
+"""Appends snapshots to the log before the records that they cover expire."""
 
 from __future__ import annotations
 
@@ -17,21 +17,21 @@
 
 @frozen
 class SnapshotSettings:
-    """When snapshots are written."""
+    """How often snapshots are written."""
 
-    #: After so many records since the latest snapshot.
+    #: Number of records after the latest snapshot that make another one due.
     every_records: int = 500
-    #: After so many seconds since the latest snapshot; well below the retention of the log.
+    #: Seconds after the latest snapshot that make another one due; well below the log's retention.
     every_seconds: float = 600.0
-    #: Seconds between two looks.
+    #: Seconds between two checks whether a snapshot is due.
     look_every: float = 2.0
 
 
 class SnapshotWriter:
-    """Appends snapshots while this daemon is the one that all others would pick.
+    """Appends snapshots while rendezvous hashing chooses this daemon as the writer.
 
-    Two writers at once do no harm: a snapshot says nothing but what follows from the records
-    before its position, so a late one is merely of no use.
+    Concurrent writers are harmless: a snapshot holds only what follows from the records before its
+    position, so a late one is merely redundant.
     """
 
     def __init__(
@@ -48,26 +48,26 @@
         self._table = table
         self._log = log
         self._timers = timers
-        self._seen_snapshot = 0
-        self._seen_at = timers.now()
+        self._latest_snapshot = 0
+        self._latest_at = timers.now()
         self._written = 0
 
     @property
     def written(self) -> int:
-        """Snapshots that this daemon has appended."""
+        """Number of snapshots that this daemon has appended."""
         return self._written
 
     async def run(self) -> None:
-        """Look for ever."""
+        """Check periodically until cancelled."""
         async for _ in self._timers.ticks(self._settings.look_every):
-            await self.look()
+            await self.write_if_due()
 
-    async def look(self) -> None:
-        """Write a snapshot if one is due and this daemon is to write it."""
+    async def write_if_due(self) -> None:
+        """Append a snapshot if one is due and this daemon is the writer."""
         state = self._holder.state
-        if state.last_snapshot != self._seen_snapshot:
-            self._seen_snapshot = state.last_snapshot
-            self._seen_at = self._timers.now()
+        if state.last_snapshot != self._latest_snapshot:
+            self._latest_snapshot = state.last_snapshot
+            self._latest_at = self._timers.now()
         if self._holder.in_force is None or not self._is_due() or not self._is_writer():
             return
         appended = await self._log.append(
@@ -75,7 +75,7 @@
         )
         if isinstance(appended, Appended):
             self._written += 1
-            self._seen_at = self._timers.now()
+            self._latest_at = self._timers.now()
 
     def _is_due(self) -> bool:
         state = self._holder.state
@@ -83,7 +83,7 @@
             return False
         if state.position - state.last_snapshot >= self._settings.every_records:
             return True
-        return self._timers.now() - self._seen_at >= self._settings.every_seconds
+        return self._timers.now() - self._latest_at >= self._settings.every_seconds
 
     def _is_writer(self) -> bool:
         chosen = rendezvous("snapshot", self._table.present(), 1)
--- a/packages/spread/src/acaciayard_spread/_witnesses.py
+++ b/packages/spread/src/acaciayard_spread/_witnesses.py
@@ -1,8 +1,8 @@
-"""Counts which other daemons hold what, so that no version is in force on one daemon alone.
+"""Tracks the positions other daemons hold, so that no version is in force on one daemon alone.
 
-A daemon that has restarted knows nothing.  If the log is out at that moment, only other daemons
-can tell it which version its host has run; therefore a version goes in force only once `WITNESSES`
-other daemons hold it.
+A restarted daemon holds no state.  If the log is unavailable at that moment, only other daemons
+know which version its host had in force.  Therefore a version is put in force only once `WITNESSES`
+other daemons, its witnesses, hold it.
 """
 
 from __future__ import annotations
@@ -16,15 +16,15 @@
 
 __all__ = ["WITNESSES", "Witnesses"]
 
-#: Other daemons that must hold a version before it goes in force.
+#: Number of other daemons that must hold a version before it is put in force.
 WITNESSES: Final = 2
-#: Seconds for which a daemon that was lost still counts as one that could be a witness.  For so
-#: long a daemon cut off from all others puts nothing new in force.
-_LOST_COUNTS_FOR: Final = 60.0
+#: Seconds for which a failed daemon still counts as a possible witness.  For this long, a daemon
+#: that is partitioned from all others puts no new version in force.
+_FAILED_COUNT_SECONDS: Final = 60.0
 
 
 class Witnesses:
-    """Positions that other daemons have told over sessions that are open now."""
+    """Positions that other daemons have acknowledged over sessions that are still open."""
 
     def __init__(self, holder: Holder, table: MemberTable, timers: TimerService) -> None:
         self._holder = holder
@@ -34,29 +34,29 @@
         table.subscribe(self._on_member)
 
     def needed(self) -> int:
-        """How many witnesses a version needs now; fewer only where fewer daemons exist."""
+        """Number of witnesses that a version needs now; lower only if fewer daemons exist."""
         others = self._table.present_count - 1
         if others < WITNESSES:
-            others += len(self._table.lost_since(self._timers.now() - _LOST_COUNTS_FOR))
+            others += len(self._table.lost_since(self._timers.now() - _FAILED_COUNT_SECONDS))
         return min(WITNESSES, max(others, 0))
 
     def _on_member(self, _before: Member | None, _now: Member) -> None:
-        """Fewer witnesses may be needed now; with many daemons that never changes."""
+        """Evaluate again, as fewer witnesses may be needed now; with many daemons none may."""
         if self._table.present_count <= WITNESSES + 1:
             self.evaluate()
 
-    def note(self, host: str, position: int) -> None:
-        """Another daemon has told that it holds all records before `position`."""
+    def acknowledge(self, host: str, position: int) -> None:
+        """Note that `host` has acknowledged all records before `position`."""
         if host != self._table.own.host:
             self._positions[host] = max(position, self._positions.get(host, 0))
             self.evaluate()
 
     def forget(self, host: str) -> None:
-        """The session is over; the daemon may be about to lose its memory."""
+        """Drop the position of a host whose sessions have ended; it may lose its state."""
         self._positions.pop(host, None)
 
     def evaluate(self) -> None:
-        """Confirm what enough daemons hold."""
+        """Confirm the position that enough daemons hold."""
         needed = self.needed()
         if needed == 0:
             self._holder.confirm(self._holder.position)
--- a/packages/spread/tests/spread_mesh.py
+++ b/packages/spread/tests/spread_mesh.py
@@ -1,4 +1,4 @@
-"""Daemons on a network, a log and a clock made for tests; the ground of the other test modules."""
+"""Base class of the replication tests: daemons on a fake network and log with a manual clock."""
 
 from __future__ import annotations
 
@@ -22,9 +22,9 @@
     return (Put(Service(name=name, objective_ms=objective_ms), revision),)
 
 
-def first_of(group: ExceptionGroup[Exception]) -> Exception:
+def first_error(group: ExceptionGroup[Exception]) -> Exception:
     first = group.exceptions[0]
-    return first_of(first) if isinstance(first, ExceptionGroup) else first
+    return first_error(first) if isinstance(first, ExceptionGroup) else first
 
 
 class SpreadTest(unittest.TestCase):
@@ -45,9 +45,9 @@
         try:
             anyio.run(run)
         except ExceptionGroup as group:
-            raise first_of(group) from group
+            raise first_error(group) from group
 
-    async def started(self, mesh: FakeMesh) -> None:
+    async def start_mesh(self, mesh: FakeMesh) -> None:
         mesh.start()
         await mesh.advance(6)
         self.assertEqual(set(mesh.versions().values()), {0})
--- a/packages/spread/tests/test_sessions.py
+++ b/packages/spread/tests/test_sessions.py
@@ -1,4 +1,4 @@
-"""Which other daemons count as witnesses while sessions come and go."""
+"""Which other daemons count as witnesses when sessions start and end."""
 
 from __future__ import annotations
 
@@ -25,37 +25,37 @@
         self.holder = Holder(Invariants())
         self.witnesses = Witnesses(self.holder, table, timers)
         self.context = SessionContext("own", self.holder, self.witnesses)
-        self.holder.take_records(0, [b"one", b"two"])
+        self.holder.fold_records(0, [b"one", b"two"])
 
     def session(self, host: str) -> Session:
         session = Session(self.context, mock.Mock(), Hello(host, 0, b"", 0))
-        self.context.enter(session)
+        self.context.add(session)
         return session
 
     def test_end_of_a_second_session_leaves_the_witness(self) -> None:
         self.session("a")
-        repair = self.session("a")
-        self.witnesses.note("a", 2)
-        self.context.leave(repair)
+        second = self.session("a")
+        self.witnesses.acknowledge("a", 2)
+        self.context.remove(second)
         self.session("b")
-        self.witnesses.note("b", 2)
+        self.witnesses.acknowledge("b", 2)
         self.assertEqual(self.holder.confirmed, 2)
 
     def test_end_of_the_last_session_forgets_the_witness(self) -> None:
-        only = self.session("a")
-        self.witnesses.note("a", 2)
-        self.context.leave(only)
+        last = self.session("a")
+        self.witnesses.acknowledge("a", 2)
+        self.context.remove(last)
         self.session("b")
-        self.witnesses.note("b", 2)
+        self.witnesses.acknowledge("b", 2)
         self.assertEqual(self.holder.confirmed, 0)
         self.assertEqual(set(self.context.open), {"b"})
 
     def test_two_others_are_needed_and_the_lower_position_counts(self) -> None:
-        self.witnesses.note("a", 2)
+        self.witnesses.acknowledge("a", 2)
         self.assertEqual(self.holder.confirmed, 0)
-        self.witnesses.note("b", 1)
+        self.witnesses.acknowledge("b", 1)
         self.assertEqual(self.holder.confirmed, 1)
-        self.witnesses.note("own", 2)
+        self.witnesses.acknowledge("own", 2)
         self.assertEqual(self.holder.confirmed, 1)
-        self.witnesses.note("c", 7)
+        self.witnesses.acknowledge("c", 7)
         self.assertEqual(self.holder.confirmed, 2)
--- a/packages/spread/tests/test_spread_failures.py
+++ b/packages/spread/tests/test_spread_failures.py
@@ -1,4 +1,4 @@
-"""The promises on configuration while all is well, and while the log is out."""
+"""Replication guarantees in normal operation and while the log is unavailable."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 class ConvergenceTest(SpreadTest):
     def test_change_is_in_force_everywhere_within_a_second(self) -> None:
         async def body(mesh: FakeMesh) -> None:
-            await self.started(mesh)
+            await self.start_mesh(mesh)
             mesh.propose("a", puts=service("novero"))
             await mesh.advance(0.2)
             self.assert_everywhere(mesh, 1)
@@ -26,7 +26,7 @@
 
     def test_only_feeders_read_the_log(self) -> None:
         async def body(mesh: FakeMesh) -> None:
-            await self.started(mesh)
+            await self.start_mesh(mesh)
             before = mesh.log.reads
             for number in range(10):
                 mesh.propose(f"c{number}", puts=service(f"s{number}"))
@@ -37,7 +37,7 @@
 
         self.run_mesh(body, count=40)
 
-    def test_lost_datagrams_cost_no_convergence(self) -> None:
+    def test_datagram_loss_does_not_prevent_convergence(self) -> None:
         async def body(mesh: FakeMesh) -> None:
             mesh.network.lose_every = 4
             mesh.start()
@@ -48,9 +48,9 @@
 
         self.run_mesh(body)
 
-    def test_lost_answer_then_repeat_makes_one_change(self) -> None:
+    def test_repeated_proposal_makes_one_change(self) -> None:
         async def body(mesh: FakeMesh) -> None:
-            await self.started(mesh)
+            await self.start_mesh(mesh)
             mesh.propose("a", puts=service("novero"))
             mesh.propose("a", puts=service("novero"))
             await mesh.advance(1)
@@ -61,12 +61,12 @@
         self.run_mesh(body, count=6)
 
 
-class LogOutTest(SpreadTest):
-    def test_log_out_for_a_minute_during_spreading(self) -> None:
-        """What one daemon of the mesh has read before the cut still reaches all."""
+class LogOutageTest(SpreadTest):
+    def test_log_outage_of_a_minute_during_replication(self) -> None:
+        """A record that one daemon read before the outage still reaches all daemons."""
 
         async def body(mesh: FakeMesh) -> None:
-            await self.started(mesh)
+            await self.start_mesh(mesh)
             mesh.propose("a", puts=service("novero"))
             await mesh.advance(0.001)
             mesh.log.is_down = True
@@ -79,9 +79,9 @@
 
         self.run_mesh(body)
 
-    def test_restart_with_the_log_out_comes_back_to_the_same_version(self) -> None:
+    def test_restart_during_a_log_outage_recovers_the_same_version(self) -> None:
         async def body(mesh: FakeMesh) -> None:
-            await self.started(mesh)
+            await self.start_mesh(mesh)
             mesh.propose("a", puts=service("novero"))
             await mesh.advance(1)
             mesh.log.is_down = True
@@ -93,11 +93,11 @@
 
         self.run_mesh(body)
 
-    def test_version_held_by_few_is_not_lost_by_a_restart_with_the_log_out(self) -> None:
-        """A daemon that ran a version which only it and two others hold must find it again."""
+    def test_restart_during_a_log_outage_keeps_a_version_held_by_three(self) -> None:
+        """A daemon recovers a version that only it and two others held before its restart."""
 
         async def body(mesh: FakeMesh) -> None:
-            await self.started(mesh)
+            await self.start_mesh(mesh)
             few = {"h00", "h04", "h08"}
             mesh.cut_off(few)
             await mesh.advance(8)
@@ -116,11 +116,11 @@
 
         self.run_mesh(body)
 
-    def test_restart_among_daemons_that_are_behind_waits_for_one_that_can_tell(self) -> None:
-        """The second run takes every answer for enough, and goes back."""
+    def test_restart_among_lagging_daemons_waits_for_one_that_knows_the_version(self) -> None:
+        """The second run recovers without enough answers and returns to an older version."""
 
         async def body(mesh: FakeMesh) -> None:
-            await self.started(mesh)
+            await self.start_mesh(mesh)
             few = {"h00", "h04", "h08"}
             mesh.log.unreachable_from = set(mesh.daemons) - few
             mesh.cut_off(few)
@@ -139,13 +139,13 @@
             self.assert_everywhere(mesh, 1)
 
         self.run_mesh(body)
-        with mock.patch.object(Recovery, "_ask_members", mock.AsyncMock(return_value=0)):
+        with mock.patch.object(Recovery, "_query_members", mock.AsyncMock(return_value=0)):
             with self.assertRaisesRegex(AssertionError, "h04 went back from version 1 to 0"):
                 self.run_mesh(body)
 
-    def test_restart_of_all_with_the_log_out_does_not_serve_and_says_why(self) -> None:
+    def test_restart_of_all_during_a_log_outage_does_not_serve_and_gives_the_reason(self) -> None:
         async def body(mesh: FakeMesh) -> None:
-            await self.started(mesh)
+            await self.start_mesh(mesh)
             mesh.propose("a", puts=service("novero"))
             await mesh.advance(1)
             mesh.log.is_down = True
@@ -154,18 +154,23 @@
             await mesh.advance(20)
             self.assert_everywhere(mesh, -1)
             reasons = {d.spread.recovery.state.reason for d in mesh.daemons.values()}
-            self.assertTrue(all("not serving so as not to go back" in r for r in reasons), reasons)
+            self.assertTrue(
+                all("not serving, to avoid an older one" in r for r in reasons), reasons
+            )
             mesh.log.is_down = False
             await mesh.advance(5)
             self.assert_everywhere(mesh, 1)
 
         self.run_mesh(body)
 
-    def test_version_that_one_daemon_alone_holds_is_not_put_in_force(self) -> None:
-        """Else a restart with the log out would go back; the second run shows that it does."""
+    def test_version_held_by_one_daemon_is_not_put_in_force(self) -> None:
+        """A version in force on one daemon alone is lost by a restart during a log outage.
+
+        The second run requires no witnesses, and the daemon returns to an older version.
+        """
 
         async def body(mesh: FakeMesh) -> None:
-            await self.started(mesh)
+            await self.start_mesh(mesh)
             mesh.log.unreachable_from = set(mesh.daemons) - {"h05"}
             mesh.cut_off({"h05"})
             await mesh.advance(8)
--- a/packages/spread/tests/test_spread_restarts.py
+++ b/packages/spread/tests/test_spread_restarts.py
@@ -1,4 +1,4 @@
-"""The promises on configuration through restarts, cuts, races and expired records."""
+"""Replication guarantees through restarts, partitions, races and expired records."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 from acaciayard_spread import (
     CONFIGURATION_STREAM,
     FEEDERS,
-    LinkKeeper,
+    SessionManager,
     SnapshotSettings,
 )
 from acaciayard_standins import FakeMesh
 
 
 class RestartTest(SpreadTest):
-    def test_herd_restart_reads_the_log_by_failure_domain(self) -> None:
+    def test_mass_restart_reads_the_log_per_failure_domain(self) -> None:
         async def body(mesh: FakeMesh) -> None:
-            await self.started(mesh)
+            await self.start_mesh(mesh)
             for number in range(5):
                 mesh.propose(f"c{number}", puts=service(f"s{number}"))
             await mesh.advance(1)
@@ -40,9 +40,9 @@
 
         self.run_mesh(body, count=48)
 
-    def test_parent_killed_in_the_middle_of_a_push(self) -> None:
+    def test_feeder_killed_during_replication(self) -> None:
         async def body(mesh: FakeMesh) -> None:
-            await self.started(mesh)
+            await self.start_mesh(mesh)
             for number in range(6):
                 mesh.propose(f"c{number}", puts=service(f"s{number}"))
                 await mesh.advance(0.002)
@@ -53,9 +53,9 @@
 
         self.run_mesh(body, count=24)
 
-    def test_domain_cut_off_and_healed(self) -> None:
+    def test_partitioned_domain_rejoins(self) -> None:
         async def body(mesh: FakeMesh) -> None:
-            await self.started(mesh)
+            await self.start_mesh(mesh)
             domain = [h for h, d in hosts(16).items() if d == "jelgava"]
             mesh.cut_off(domain)
             await mesh.advance(300)
@@ -72,25 +72,28 @@
 
         self.run_mesh(body, count=16)
 
-    def test_silent_peer_is_no_witness_any_more(self) -> None:
-        """A host without power ends no stream; its word must not count when it comes back."""
+    def test_unreachable_peer_is_no_longer_a_witness(self) -> None:
+        """A host that loses power closes no stream; its acknowledgements must not count later."""
 
         async def body(mesh: FakeMesh) -> None:
-            await self.started(mesh)
+            await self.start_mesh(mesh)
             spread = next(d.spread for d in mesh.daemons.values() if d.spread.is_feeder)
-            below = spread.peers - set(spread.links.upstream)
-            self.assertTrue(below)
-            mesh.cut_off(below)
+            downstream = spread.peers - set(spread.links.upstream)
+            self.assertTrue(downstream)
+            mesh.cut_off(downstream)
             await mesh.advance(9)
-            self.assertFalse(below & spread.peers)
+            self.assertFalse(downstream & spread.peers)
 
         self.run_mesh(body, count=24)
-        with mock.patch.object(LinkKeeper, "_end_session"), self.assertRaises(AssertionError):
+        with (
+            mock.patch.object(SessionManager, "_close_sessions"),
+            self.assertRaises(AssertionError),
+        ):
             self.run_mesh(body, count=24)
 
-    def test_failed_daemon_is_found_within_seconds(self) -> None:
+    def test_failed_daemon_is_detected_within_seconds(self) -> None:
         async def body(mesh: FakeMesh) -> None:
-            await self.started(mesh)
+            await self.start_mesh(mesh)
             mesh.kill("h07")
             await mesh.advance(8)
             for daemon in mesh.daemons.values():
@@ -100,9 +103,9 @@
 
 
 class RaceTest(SpreadTest):
-    def test_operators_race_and_every_daemon_agrees_who_won(self) -> None:
+    def test_concurrent_changes_have_the_same_outcomes_everywhere(self) -> None:
         async def body(mesh: FakeMesh) -> None:
-            await self.started(mesh)
+            await self.start_mesh(mesh)
             mesh.propose("base", puts=service("novero"))
             await mesh.advance(1)
             mesh.propose("one", puts=service("novero", revision=1, objective_ms=100.0))
@@ -127,7 +130,7 @@
 
     def test_cold_start_from_a_snapshot_after_records_expired(self) -> None:
         async def body(mesh: FakeMesh) -> None:
-            await self.started(mesh)
+            await self.start_mesh(mesh)
             for number in range(12):
                 mesh.propose(f"c{number}", puts=service(f"s{number}"))
                 await mesh.advance(2)
@@ -142,11 +145,11 @@
 
         self.run_mesh(body, count=6, snapshots=self.SNAPSHOTS)
 
-    def test_snapshot_by_a_writer_that_was_paused_does_no_harm(self) -> None:
-        """It says what held long ago, and comes after snapshots that say more."""
+    def test_late_snapshot_of_a_paused_writer_is_harmless(self) -> None:
+        """The late snapshot holds an old state and follows snapshots of newer ones."""
 
         async def body(mesh: FakeMesh) -> None:
-            await self.started(mesh)
+            await self.start_mesh(mesh)
             mesh.propose("first", puts=service("first"))
             await mesh.advance(2)
             old = encode_record(snapshot_of(mesh.daemons["h00"].spread.holder.state))
@@ -166,9 +169,9 @@
 
         self.run_mesh(body, count=6, snapshots=self.SNAPSHOTS)
 
-    def test_stream_expired_as_a_whole_is_written_again(self) -> None:
+    def test_fully_expired_stream_gets_a_new_snapshot(self) -> None:
         async def body(mesh: FakeMesh) -> None:
-            await self.started(mesh)
+            await self.start_mesh(mesh)
             mesh.propose("a", puts=service("novero"))
             await mesh.advance(3)
             mesh.log.is_down = True
