--- a/packages/wire/src/acaciayard_wire/__init__.py
+++ b/packages/wire/src/acaciayard_wire/__init__.py
@@ -1,4 +1,4 @@
-"""What daemons say to each other: typed msgpack messages over counted streams."""
+"""Typed msgpack messages between daemons, over streams and datagrams whose bytes are counted."""
 
 from ._codec import MessageCodec, MessageError
 from ._control import Address, ControlPort, DatagramHandler, StreamHandler
--- a/packages/wire/src/acaciayard_wire/_codec.py
+++ b/packages/wire/src/acaciayard_wire/_codec.py
@@ -1,4 +1,4 @@
-"""Typed messages as msgpack arrays: `[code, field, field, ...]`."""
+"""Encodes typed messages as msgpack arrays: `[code, field, field, ...]`."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
 
 _Message = TypeVar("_Message", bound=attrs.AttrsInstance)
 
-_PLAIN: Final = (int, float, str, bytes, bool)
-#: Types that a field of the annotated type may hold after unpacking.
-_ALLOWED: Final[dict[Any, tuple[type, ...]]] = {
+_PLAIN_TYPES: Final = (int, float, str, bytes, bool)
+#: Types of an unpacked value that are accepted for each annotated type.
+_ACCEPTED_TYPES: Final[dict[Any, tuple[type, ...]]] = {
     int: (int,),
     float: (float, int),
     str: (str,),
@@ -31,20 +31,20 @@
 
 @frozen
 class MessageError(Exception):
-    """Bytes that are no message of this codec; the connection they came on is closed."""
+    """The received bytes are not a valid message; the connection they came on is closed."""
 
-    #: What was wrong with them.
+    #: Description of the error, for people.
     reason: str
 
 
 class MessageCodec:
-    """Turns registered `attrs` classes into bytes and back.
+    """Encodes instances of registered `attrs` classes as bytes and decodes them.
 
-    A class is known by a small number that never changes its meaning; fields go in their order,
-    so that a newer release adds fields at the end, with defaults.  What comes is checked: by the
-    types of the fields, by the validators of the class, and by its method `check_fields`, which
-    raises `ValueError`.  Classes of which each call sends some have that method in place of
-    validators: those run for what is sent as well, and one by one.
+    Each class is identified by a small number whose meaning never changes.  Fields are encoded in
+    their order, so that a newer release can add fields with defaults at the end.  Decoded messages
+    are checked by the types of the fields, by the validators of the class, and by its method
+    `check_fields`, which raises `ValueError`.  Classes that are sent with every call define that
+    method instead of validators, as validators also run for messages that are sent, and one by one.
 
     Example:
 
@@ -57,37 +57,37 @@
             _resolve(cls)
         self._classes = classes
         self._codes = {cls: code for code, cls in classes.items()}
-        self._shapes = {cls: shape for cls in classes.values() if (shape := _plain_shape(cls))}
+        self._schemas = {cls: schema for cls in classes.values() if (schema := _plain_schema(cls))}
         self._packer = msgpack.Packer()
-        self._made_converter: cattrs.Converter | None = None
+        self._cached_converter: cattrs.Converter | None = None
 
     @property
     def _converter(self) -> cattrs.Converter:
-        """Turns classes that are not plain; made when the first of them comes.
+        """Converter for classes that have no plain schema; created on first use.
 
-        A daemon on the operators' platform sends none, and is spared a library of 15 modules.
+        A daemon on the operators' platform uses none, and does not load the 15 modules of cattrs.
         """
-        if self._made_converter is None:
+        if self._cached_converter is None:
             import cattrs
 
             strategy = cattrs.UnstructureStrategy.AS_TUPLE
-            self._made_converter = cattrs.Converter(unstruct_strat=strategy)
-        return self._made_converter
+            self._cached_converter = cattrs.Converter(unstruct_strat=strategy)
+        return self._cached_converter
 
     def with_messages(self, classes: dict[int, type[Any]]) -> MessageCodec:
-        """A codec that knows further classes."""
+        """A codec with further classes registered."""
         return MessageCodec({**self._classes, **classes})
 
     def encode(self, message: object) -> bytes:
-        """The message as bytes that delimit themselves."""
+        """Encode a message as self-delimiting bytes."""
         cls = type(message)
-        shape = self._shapes.get(cls)
-        fields = shape.fields(message) if shape else self._converter.unstructure(message)
+        schema = self._schemas.get(cls)
+        fields = schema.fields(message) if schema else self._converter.unstructure(message)
         packed: bytes = self._packer.pack((self._codes[cls], *fields))
         return packed
 
     def decode(self, packed: bytes) -> object:
-        """The message that `packed` holds; raises `MessageError`."""
+        """Decode one message; raises `MessageError` if it is invalid."""
         try:
             parts = msgpack.unpackb(packed)
         except (ValueError, msgpack.exceptions.UnpackException) as error:
@@ -95,9 +95,9 @@
         return self.structure(parts)
 
     def structure(self, parts: Any) -> object:
-        """The message made of unpacked `parts`; raises `MessageError`."""
+        """Build a message from its unpacked array; raises `MessageError` if it is invalid."""
         if not isinstance(parts, list) or not parts:
-            raise MessageError("a message is an array that starts with its code")
+            raise MessageError("a message must be an array that starts with its code")
         code = parts[0]
         cls = self._classes.get(code) if isinstance(code, int) else None
         if cls is None:
@@ -105,116 +105,116 @@
         return self._build(cls, parts[1:])
 
     def _build(self, cls: type[_Message], fields: list[Any]) -> _Message:
-        if shape := self._shapes.get(cls):
-            return shape.build(cls, fields)
+        if schema := self._schemas.get(cls):
+            return schema.build(cls, fields)
         known = attrs.fields(cls)
         try:
             return self._converter.structure(tuple(fields[: len(known)]), cls)
-        except Exception as error:  # cattrs raises groups and whatever a field's hook raises
+        except Exception as error:  # cattrs raises exception groups and any error of a hook
             raise MessageError(f"{cls.__name__}: {error}") from error
 
 
 @attrs.frozen
-class _PlainShape:
-    """A class whose fields are plain values, lists of them, or tuples of classes of this kind.
+class _PlainSchema:
+    """Schema of a class whose fields are plain values, lists of them, or tuples of such classes.
 
-    No converter is needed for it: a member with two targets is packed in 7 us in place of 17.
+    It replaces the converter, which is slower: a member with two targets is encoded in 7 us instead
+    of 17 us.
     """
 
     #: Name of the class.
     name: str
-    #: Reads all fields of an instance as a tuple.
-    take: Callable[[Any], tuple[Any, ...]]
-    #: What each field may hold.
-    allowed: tuple[tuple[type, ...], ...]
-    #: What the items of each field may be, where it is a list.
+    #: Returns all fields of an instance as a tuple.
+    read_fields: Callable[[Any], tuple[Any, ...]]
+    #: Accepted types of each field.
+    accepted: tuple[tuple[type, ...], ...]
+    #: Item type of each field that is a list, `None` for other fields.
     items: tuple[type | None, ...]
-    #: Fields that are tuples of classes, by their place.
-    parts: dict[int, _Part]
-    #: How many fields have no default.
+    #: Fields that are tuples of classes, by index.
+    parts: dict[int, _TupleSchema]
+    #: Number of fields without a default.
     required: int
-    #: What the fields are where none needs a closer look: the one type that fits, and for a list
-    #: that it is empty.
-    usual: list[type]
-    #: Fields that are lists or parts, by their place.
+    #: Field types of a message that the fast path accepts; its lists must also be empty.
+    common_types: list[type]
+    #: Indexes of fields that are lists or nested tuples.
     containers: tuple[int, ...]
-    #: Says what the fields of an instance have to do with each other and with their bounds, `None`
-    #: where the validators of the class do.
+    #: Validates the fields of an instance and their relations; `None` if only the validators of
+    #: the class do.
     check: Callable[[Any], None] | None
 
     def fields(self, message: object) -> tuple[Any, ...]:
-        """What is packed for `message`."""
-        fields = self.take(message)
+        """The values to encode for `message`."""
+        fields = self.read_fields(message)
         if not self.parts:
             return fields
         packed = list(fields)
-        for place, part in self.parts.items():
-            packed[place] = [part.shape.fields(item) for item in packed[place]]
+        for index, part in self.parts.items():
+            packed[index] = [part.schema.fields(item) for item in packed[index]]
         return tuple(packed)
 
     def build(self, cls: type[_Message], fields: list[Any]) -> _Message:
-        """An instance of `cls` from unpacked `fields`; raises `MessageError`."""
-        if not self._is_usual(fields):
+        """Create an instance of `cls` from unpacked `fields`; raises `MessageError`."""
+        if not self._has_common_types(fields):
             self._check(fields)
-            for place, part in self.parts.items():
-                if place < len(fields):
-                    fields[place] = part.build(fields[place])
+            for index, part in self.parts.items():
+                if index < len(fields):
+                    fields[index] = part.build(fields[index])
         return self._checked(cls, fields)
 
-    def _is_usual(self, fields: list[Any]) -> bool:
-        """Whether all fields are there and fit at first sight; nearly all messages are so.
+    def _has_common_types(self, fields: list[Any]) -> bool:
+        """Whether all fields are present and have the usual types, as in nearly all messages.
 
-        Compared all at once, which takes a tenth of looking at each.
+        Comparing them at once takes a tenth of the time of checking each field.
         """
-        if self.parts or list(map(type, fields)) != self.usual:
+        if self.parts or list(map(type, fields)) != self.common_types:
             return False
-        return not any(fields[place] for place in self.containers)
+        return not any(fields[index] for index in self.containers)
 
     def _checked(self, cls: type[_Message], fields: list[Any]) -> _Message:
-        """An instance whose validators have passed; raises `MessageError`."""
+        """Create and validate an instance of `cls`; raises `MessageError`."""
         try:
             message = cls(*fields)
             if self.check is not None:
                 self.check(message)
         except (ValueError, TypeError) as error:
-            told = error.args[0] if error.args else error
-            raise MessageError(f"{cls.__name__}: {told}") from error
+            detail = error.args[0] if error.args else error
+            raise MessageError(f"{cls.__name__}: {detail}") from error
         return message
 
     def _check(self, fields: list[Any]) -> None:
-        """Raise `MessageError` unless `fields` fit; drops those of a later release."""
+        """Raise `MessageError` unless `fields` match; drops fields that a later release added."""
         if len(fields) < self.required:
             raise MessageError(f"{self.name}: {len(fields)} fields, {self.required} needed")
-        del fields[len(self.allowed) :]
-        for value, allowed, item in zip(fields, self.allowed, self.items, strict=False):
-            if not isinstance(value, allowed):
-                raise MessageError(f"{self.name}: {type(value).__name__} where {allowed} is due")
-            if item is not None and not _holds_only(value, item):
-                raise MessageError(f"{self.name}: a list holds something else than {item}")
+        del fields[len(self.accepted) :]
+        for value, accepted, item in zip(fields, self.accepted, self.items, strict=False):
+            if not isinstance(value, accepted):
+                raise MessageError(f"{self.name}: got {type(value).__name__}, expected {accepted}")
+            if item is not None and not _all_instances(value, item):
+                raise MessageError(f"{self.name}: a list holds an item that is not {item}")
 
 
 @attrs.frozen
-class _Part:
-    """A field that is a tuple of a class."""
+class _TupleSchema:
+    """Schema of a field annotated as `tuple[Class, ...]`."""
 
-    #: The class.
+    #: Class of the items.
     cls: type[Any]
-    #: Its shape.
-    shape: _PlainShape
+    #: Schema of that class.
+    schema: _PlainSchema
 
     def build(self, items: list[Any]) -> tuple[Any, ...]:
-        """The tuple from unpacked `items`; raises `MessageError`."""
-        if not _holds_only(items, list):
-            raise MessageError(f"{self.shape.name}: a part is an array of fields")
-        return tuple(self.shape.build(self.cls, item) for item in items)
+        """Create the tuple from unpacked `items`; raises `MessageError`."""
+        if not _all_instances(items, list):
+            raise MessageError(f"{self.schema.name}: a nested message must be an array of fields")
+        return tuple(self.schema.build(self.cls, item) for item in items)
 
 
-def _holds_only(values: Any, item: type) -> bool:
+def _all_instances(values: Any, item: type) -> bool:
     return all(isinstance(value, item) for value in values)
 
 
 def _resolve(cls: type) -> None:
-    """Replace annotations that are text by types, here and in the classes of fields."""
+    """Resolve annotations that are strings, in this class and in the classes of its fields."""
     attrs.resolve_types(cls)
     for attribute in attrs.fields(cls):
         for part in (attribute.type, *typing.get_args(attribute.type)):
@@ -222,53 +222,53 @@
                 _resolve(part)
 
 
-def _plain_shape(cls: type) -> _PlainShape | None:
-    """The shape of a plain class, or `None` where a converter is needed."""
+def _plain_schema(cls: type) -> _PlainSchema | None:
+    """The plain schema of a class, or `None` if it needs the converter."""
     hints = typing.get_type_hints(cls)
-    allowed: list[tuple[type, ...]] = []
+    accepted: list[tuple[type, ...]] = []
     items: list[type | None] = []
-    parts: dict[int, _Part] = {}
+    parts: dict[int, _TupleSchema] = {}
     attributes = attrs.fields(cls)
-    for place, attribute in enumerate(attributes):
+    for index, attribute in enumerate(attributes):
         hint = hints[attribute.name]
-        if hint in _PLAIN:
-            allowed.append(_ALLOWED[hint])
+        if hint in _PLAIN_TYPES:
+            accepted.append(_ACCEPTED_TYPES[hint])
             items.append(None)
-        elif typing.get_origin(hint) is list and typing.get_args(hint)[0] in _PLAIN:
-            allowed.append((list,))
+        elif typing.get_origin(hint) is list and typing.get_args(hint)[0] in _PLAIN_TYPES:
+            accepted.append((list,))
             items.append(typing.get_args(hint)[0])
-        elif part := _part(hint):
-            allowed.append((list,))
+        elif part := _tuple_schema(hint):
+            accepted.append((list,))
             items.append(None)
-            parts[place] = part
+            parts[index] = part
         else:
             return None
     names = [attribute.name for attribute in attributes]
-    return _PlainShape(
+    return _PlainSchema(
         name=cls.__name__,
-        take=_taker(names),
-        allowed=tuple(allowed),
+        read_fields=_field_reader(names),
+        accepted=tuple(accepted),
         items=tuple(items),
         parts=parts,
         required=sum(a.default is attrs.NOTHING for a in attributes),
-        usual=[each[0] for each in allowed],
-        containers=tuple(place for place, each in enumerate(allowed) if each == (list,)),
+        common_types=[types[0] for types in accepted],
+        containers=tuple(index for index, types in enumerate(accepted) if types == (list,)),
         check=getattr(cls, "check_fields", None),
     )
 
 
-def _part(hint: Any) -> _Part | None:
-    """What a field holds whose annotation is `tuple[Class, ...]`; `None` for another one."""
+def _tuple_schema(hint: Any) -> _TupleSchema | None:
+    """The schema of a field annotated as `tuple[Class, ...]`; `None` for other annotations."""
     if typing.get_origin(hint) is not tuple:
         return None
     cls, *rest = typing.get_args(hint)
     if rest != [...] or not attrs.has(cls):
         return None
-    shape = _plain_shape(cls)
-    return _Part(cls, shape) if shape else None
+    schema = _plain_schema(cls)
+    return _TupleSchema(cls, schema) if schema else None
 
 
-def _taker(names: list[str]) -> Callable[[Any], tuple[Any, ...]]:
+def _field_reader(names: list[str]) -> Callable[[Any], tuple[Any, ...]]:
     if not names:
         return lambda message: ()
     if len(names) == 1:
--- a/packages/wire/src/acaciayard_wire/_control.py
+++ b/packages/wire/src/acaciayard_wire/_control.py
@@ -1,4 +1,4 @@
-"""The control port of a daemon: streams told apart by their first message, and datagrams."""
+"""The control port of a daemon: datagrams, and streams dispatched by their first message."""
 
 from __future__ import annotations
 
@@ -20,25 +20,25 @@
 
 __all__ = ["Address", "ControlPort", "DatagramHandler", "StreamHandler"]
 
-#: The largest port number, and its digits.
 _LARGEST_PORT: Final = 65535
+#: Number of digits of the largest port number.
 _PORT_DIGITS: Final = 5
-#: Tries to find a port number that is free for streams and for datagrams.
-_PORT_TRIES: Final = 20
+#: Attempts to find a port number that is free for both TCP and UDP.
+_MAX_PORT_ATTEMPTS: Final = 20
 
 
 @frozen(order=True)
 class Address:
-    """An IP number and a port."""
+    """An IP address and a port."""
 
-    #: IP number.
+    #: IP address.
     ip: str
     #: Port number.
     port: int
 
     @classmethod
     def parse(cls, text: str) -> Address:
-        """The address in `"ip:port"`, with an IPv4 number; raises `ValueError`.
+        """Parse `"ip:port"` with an IPv4 address; raises `ValueError` if it is invalid.
 
         Example:
             Address.parse("10.1.0.35:8145")         # Address("10.1.0.35", 8145)
@@ -56,15 +56,15 @@
 
 #: Serves one stream whose first message has been read.
 StreamHandler = Callable[[Any, MessageStream], Awaitable[None]]
-#: Takes one datagram's message; called in the event loop, must not wait.
+#: Handles the message of one datagram; called in the event loop and must not block.
 DatagramHandler = Callable[[Any, Address], None]
 
 
 class ControlPort:
-    """One port number, for TCP and UDP, over which daemons control each other.
+    """One port number, for TCP and UDP, that carries control messages between daemons.
 
-    Every part registers the messages it answers to; a stream belongs to the part that registered
-    its first message and runs as a task of its own.
+    Each component registers handlers for its messages.  A stream is served by the handler that is
+    registered for its first message, in a task of its own.
     """
 
     def __init__(
@@ -88,27 +88,27 @@
 
     @property
     def rejected(self) -> int:
-        """Streams and datagrams so far that made no sense."""
+        """Number of streams and datagrams rejected as invalid so far."""
         return self._rejected
 
     @property
     def address(self) -> Address:
-        """Where the port is open."""
+        """Address of the open port."""
         assert self._listener is not None, "the port is not open yet"
         return Address(self._ip, self._listener.port)
 
     def on_stream(self, first: type, purpose: Purpose, handler: StreamHandler) -> None:
-        """Have streams that start with a `first` message served by `handler`."""
+        """Register `handler` for streams whose first message is a `first`."""
         self._stream_handlers[first] = (purpose, handler)
 
     def on_datagram(self, message: type, handler: DatagramHandler) -> None:
-        """Have datagrams with a message of this class taken by `handler`."""
+        """Register `handler` for datagrams with a message of this class."""
         self._datagram_handlers[message] = handler
 
     async def open(self, port: int, tasks: anyio.abc.TaskGroup) -> None:
-        """Open `port`, or one given by the kernel for 0; streams run in `tasks`."""
+        """Open `port`, or one chosen by the kernel if it is 0; streams are served in `tasks`."""
         self._tasks = tasks
-        for _ in range(_PORT_TRIES if port == 0 else 1):
+        for _ in range(_MAX_PORT_ATTEMPTS if port == 0 else 1):
             listener = await listen(
                 self._ip,
                 port,
@@ -123,7 +123,7 @@
                 continue
             self._listener = listener
             return
-        raise OSError(f"no port of {self._ip} is free for streams and datagrams")
+        raise OSError(f"no port of {self._ip} is free for both TCP and UDP")
 
     async def _open_datagrams(self, port: int) -> _DatagramProtocol:
         loop = asyncio.get_running_loop()
@@ -145,23 +145,23 @@
             first = await messages.receive()
             registered = self._stream_handlers.get(type(first))
             if registered is None:
-                raise MessageError(f"no part serves streams that start with {type(first).__name__}")
+                raise MessageError(f"no handler for streams that start with {type(first).__name__}")
             purpose, handler = registered
             messages.channel.assign(purpose)
             await handler(first, messages)
         except StreamLostError:
-            pass  # the other end is gone; its own part sees to that
+            pass  # handlers react to lost connections themselves
         except MessageError:
             self._rejected += 1
         finally:
             messages.close()
 
     def _take_datagram(self, data: bytes, sender: Address) -> None:
-        before = self._account.switch(ProcessorPart.EXCHANGE)
+        previous = self._account.switch(ProcessorPart.EXCHANGE)
         try:
             self._handle_datagram(data, sender)
         finally:
-            self._account.switch(before)
+            self._account.switch(previous)
 
     def _handle_datagram(self, data: bytes, sender: Address) -> None:
         self._traffic.received(Purpose.MEMBERSHIP, len(data), sender.ip)
@@ -175,7 +175,7 @@
             handler(message, sender)
 
     def send_datagram(self, message: object, to: Address) -> None:
-        """Send one message, without knowing whether it arrives."""
+        """Send one message by datagram; delivery is not guaranteed."""
         assert self._datagrams is not None, "the port is not open yet"
         data = self._codec.encode(message)
         self._traffic.sent(Purpose.MEMBERSHIP, len(data), to.ip)
@@ -187,7 +187,7 @@
         return MessageStream(stream, self._codec)
 
     def close(self) -> None:
-        """Take no more streams or datagrams."""
+        """Stop accepting streams and datagrams."""
         if self._listener is not None:
             self._listener.close()
         if self._datagrams is not None:
@@ -195,20 +195,20 @@
 
 
 class _DatagramProtocol(asyncio.DatagramProtocol):
-    """Hands datagrams over as they come."""
+    """Passes received datagrams to a callback."""
 
-    def __init__(self, take: Callable[[bytes, Address], None]) -> None:
-        self._take = take
+    def __init__(self, callback: Callable[[bytes, Address], None]) -> None:
+        self._callback = callback
         self._transport: asyncio.DatagramTransport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
-        self._take(data, Address(str(addr[0]), addr[1]))
+        self._callback(data, Address(str(addr[0]), addr[1]))
 
     def error_received(self, exc: Exception) -> None:
-        """A datagram met a closed port; the probes notice by themselves."""
+        """Ignore errors such as a closed port at the receiver; probes detect failed daemons."""
 
     def send(self, data: bytes, to: Address) -> None:
         if self._transport is not None and not self._transport.is_closing():
--- a/packages/wire/src/acaciayard_wire/_messages.py
+++ b/packages/wire/src/acaciayard_wire/_messages.py
@@ -1,4 +1,4 @@
-"""Streams of typed messages over a byte stream."""
+"""Typed messages over a byte stream."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 
 
 class MessageStream:
-    """Sends and receives whole messages of one codec on one connection.
+    """Sends and receives messages of one codec over one connection.
 
-    Most messages come whole, and are read without keeping anything.  An incremental reader takes 44
-    KB and lives only until a message that came in pieces is whole: a daemon under load has 200
-    streams to others, nearly all of them idle.
+    Most messages arrive in one piece and are decoded without a buffer.  An incremental unpacker,
+    which takes 44 KB, exists only while a message is incomplete: a daemon under load has 200
+    streams to other daemons, and nearly all of them are idle.
 
     Example:
 
@@ -33,12 +33,12 @@
         self._stream = stream
         self._codec = codec
         self._unread = b""
-        self._pieces: msgpack.Unpacker | None = None
-        self._pieces_bytes = 0
+        self._unpacker: msgpack.Unpacker | None = None
+        self._fed_bytes = 0
 
     @property
     def channel(self) -> ByteStream:
-        """The connection below."""
+        """The underlying byte stream."""
         return self._stream
 
     async def send(self, message: object) -> None:
@@ -46,45 +46,45 @@
         await self._stream.send(self._codec.encode(message))
 
     async def receive(self) -> object:
-        """The next message; raises `StreamLostError` at the end and `MessageError` on nonsense."""
+        """The next message; raises `StreamLostError` at the end, `MessageError` if invalid."""
         while True:
             data = self._unread or await self._stream.receive()
             if not data:
                 raise StreamLostError(f"{self._stream.peer} closed the connection")
             self._unread = b""
-            is_whole, parts = self._take(data)
-            if is_whole:
+            is_complete, parts = self._unpack(data)
+            if is_complete:
                 return self._codec.structure(parts)
 
-    def _take(self, data: bytes) -> tuple[bool, Any]:
-        """The first message in what has come, if it is whole now."""
-        if self._pieces is not None:
-            return self._take_piece(self._pieces, data)
+    def _unpack(self, data: bytes) -> tuple[bool, Any]:
+        """Unpack the first message; the first value tells whether it is complete."""
+        if self._unpacker is not None:
+            return self._unpack_more(self._unpacker, data)
         try:
             return True, msgpack.unpackb(data)
-        except msgpack.exceptions.ExtraData as more:
-            self._unread = more.extra
-            return True, more.unpacked
-        except ValueError:  # it is not whole, or nonsense: the incremental reader tells which
-            self._pieces = msgpack.Unpacker(max_buffer_size=MAX_MESSAGE_BYTES)
-            self._pieces_bytes = 0
-            return self._take_piece(self._pieces, data)
-
-    def _take_piece(self, pieces: msgpack.Unpacker, data: bytes) -> tuple[bool, Any]:
+        except msgpack.exceptions.ExtraData as error:
+            self._unread = error.extra
+            return True, error.unpacked
+        except ValueError:  # incomplete or invalid; the incremental unpacker distinguishes them
+            self._unpacker = msgpack.Unpacker(max_buffer_size=MAX_MESSAGE_BYTES)
+            self._fed_bytes = 0
+            return self._unpack_more(self._unpacker, data)
+
+    def _unpack_more(self, unpacker: msgpack.Unpacker, data: bytes) -> tuple[bool, Any]:
         try:
-            pieces.feed(data)
-            self._pieces_bytes += len(data)
-            parts = pieces.unpack()
+            unpacker.feed(data)
+            self._fed_bytes += len(data)
+            parts = unpacker.unpack()
         except msgpack.exceptions.BufferFull as error:
             raise MessageError(f"a message is larger than {MAX_MESSAGE_BYTES} bytes") from error
         except msgpack.exceptions.OutOfData:
             return False, None
         except ValueError as error:
-            raise MessageError(f"what came is no message: {error}") from error
-        self._unread = pieces.read_bytes(self._pieces_bytes - pieces.tell())
-        self._pieces = None
+            raise MessageError(f"invalid message: {error}") from error
+        self._unread = unpacker.read_bytes(self._fed_bytes - unpacker.tell())
+        self._unpacker = None
         return True, parts
 
     def close(self) -> None:
-        """Close after what was sent has left."""
+        """Close the connection after the data sent has been written."""
         self._stream.close()
--- a/packages/wire/src/acaciayard_wire/_stream.py
+++ b/packages/wire/src/acaciayard_wire/_stream.py
@@ -1,8 +1,8 @@
-"""A byte stream over a socket with as few wake-ups as the event loop allows.
+"""A byte stream over a socket, with as few wake-ups as the event loop allows.
 
 The streams of `anyio` yield to the event loop on every send and receive, which costs a call two
-extra rounds of the loop per hop.  `ByteStream` waits only when there is nothing to read or the
-socket is full.  It is used from ordinary tasks, under `anyio` cancel scopes like any other wait.
+extra iterations of the loop per hop.  `ByteStream` waits only when there is nothing to read or the
+write buffer is full.  It is used from ordinary tasks and supports `anyio` cancel scopes.
 """
 
 from __future__ import annotations
@@ -16,22 +16,22 @@
 
 __all__ = ["ByteStream", "Listener", "StreamLostError", "connect", "listen"]
 
-#: Bytes that may wait unread before the socket is no longer read.
-_READ_HIGH: Final = 256 * 1024
-#: Bytes that may wait to be written before `send` waits.
-_WRITE_HIGH: Final = 256 * 1024
+#: Unread bytes above which reading from the socket is paused.
+_READ_HIGH_WATER: Final = 256 * 1024
+#: Unwritten bytes above which `send` waits.
+_WRITE_HIGH_WATER: Final = 256 * 1024
 
 
 class StreamLostError(Exception):
-    """The connection is gone, or the other end stopped in the middle of something."""
+    """The connection is closed or broken, perhaps in the middle of a message."""
 
 
 class NobodyListensError(StreamLostError):
-    """The other host answers, and no process has the port."""
+    """The host refused the connection, as no process listens on the port."""
 
 
 class ByteStream(asyncio.Protocol):
-    """One connection, read and written by one task at a time each."""
+    """One connection; at most one task reads and one task writes at a time."""
 
     def __init__(
         self,
@@ -61,9 +61,9 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(asyncio.Transport, transport)
-        self._transport.set_write_buffer_limits(high=_WRITE_HIGH)
-        name = transport.get_extra_info("peername")
-        self._peer_ip = str(name[0]) if name else ""
+        self._transport.set_write_buffer_limits(high=_WRITE_HIGH_WATER)
+        peername = transport.get_extra_info("peername")
+        self._peer_ip = str(peername[0]) if peername else ""
         if self._on_open is not None:
             self._on_open(self)
 
@@ -76,7 +76,7 @@
             return
         self._chunks.append(data)
         self._buffered += len(data)
-        if self._buffered > _READ_HIGH and self._transport is not None:
+        if self._buffered > _READ_HIGH_WATER and self._transport is not None:
             self._transport.pause_reading()
         reader = self._reader
         if reader is None:
@@ -117,37 +117,37 @@
 
     @property
     def is_lost(self) -> bool:
-        """Whether the other end has closed or the connection broke."""
+        """Whether the other end has closed the connection or it broke."""
         return self._lost or self._ended
 
     @property
     def was_reset(self) -> bool:
-        """Whether the connection broke before the other end had said that it sends no more."""
+        """Whether the connection ended without an end-of-file from the other end."""
         return self._was_reset
 
     @property
     def has_unread(self) -> bool:
-        """Whether bytes wait to be received."""
+        """Whether received bytes are buffered."""
         return bool(self._chunks)
 
     @property
     def peer(self) -> str:
-        """The other end as `ip:port`, for logs."""
-        name = self._transport.get_extra_info("peername") if self._transport else None
-        return f"{name[0]}:{name[1]}" if name else "unknown"
+        """Address of the other end as `ip:port`, for logs."""
+        peername = self._transport.get_extra_info("peername") if self._transport else None
+        return f"{peername[0]}:{peername[1]}" if peername else "unknown"
 
     def assign(self, purpose: Purpose) -> None:
-        """Count the bytes from now on for another purpose."""
+        """Count the bytes from now on for `purpose`."""
         self._purpose = purpose
-        #: The counter of calls, for the many streams that carry them; `None` for all others.
+        #: Counter that streams of calls update directly; `None` for other purposes.
         self._calls = self._traffic.counter(purpose) if purpose is Purpose.CALLS else None
 
     def watch_lost(
         self, callback: Callable[[], None] | None, *, on_unread: Callable[[], None] | None = None
     ) -> None:
-        """Call `callback` as soon as the other end is gone; `None` ends the watch.
+        """Call `callback` when the connection is lost, at once if it is; `None` unregisters it.
 
-        Until then `on_unread` is called for bytes that come while no task waits for them.
+        Until then `on_unread` is called when bytes arrive while no task waits for them.
         """
         self._on_lost = callback
         self._on_unread = on_unread
@@ -155,14 +155,14 @@
             callback()
 
     def watch_data(self, callback: Callable[[bytes], bool] | None) -> None:
-        """Show `callback` each piece as it comes; `None` ends the watch.
+        """Call `callback` with each chunk that arrives; `None` unregisters it.
 
-        Where it returns true the piece is done with, and the task that receives isn't woken.
+        If it returns true, the chunk is consumed and the receiving task is not woken.
         """
         self._on_data = callback
 
     async def receive(self) -> bytes:
-        """The next bytes, at least one; empty when the other end has closed."""
+        """All buffered bytes, waiting for at least one; empty if the other end has closed."""
         while not self._chunks:
             if self._ended:
                 return b""
@@ -171,18 +171,18 @@
                 await self._reader
             finally:
                 self._reader = None
-        return self._take()
+        return self._pop_chunks()
 
-    def _take(self) -> bytes:
+    def _pop_chunks(self) -> bytes:
         data = self._chunks.popleft() if len(self._chunks) == 1 else b"".join(self._chunks)
         self._chunks.clear()
-        if self._buffered > _READ_HIGH and self._transport is not None and not self._lost:
+        if self._buffered > _READ_HIGH_WATER and self._transport is not None and not self._lost:
             self._transport.resume_reading()
         self._buffered = 0
         return data
 
     def send_nowait(self, data: bytes) -> None:
-        """Hand `data` to the socket without waiting; raises `StreamLostError`."""
+        """Write `data` without waiting; raises `StreamLostError`."""
         if self._lost or self._transport is None or self._transport.is_closing():
             raise StreamLostError(f"connection to {self.peer} is closed")
         if self._calls is not None:
@@ -192,7 +192,7 @@
         self._transport.write(data)
 
     async def send(self, data: bytes) -> None:
-        """Hand `data` to the socket and wait while it is full; raises `StreamLostError`."""
+        """Write `data` and wait while the write buffer is full; raises `StreamLostError`."""
         self.send_nowait(data)
         while self._write_paused:
             if self._lost:
@@ -204,29 +204,29 @@
                 self._writer = None
 
     def close(self) -> None:
-        """Close after what was sent has left; harmless when closed already."""
+        """Close after the data sent has been written; does nothing if already closed."""
         if self._transport is not None:
             self._transport.close()
 
     def abort(self) -> None:
-        """Close at once and drop what has not left, so that the other end sees a cut."""
+        """Close at once and discard unwritten data, so that the other end sees a broken stream."""
         if self._transport is not None:
             self._transport.abort()
 
 
 class Listener:
-    """A listening socket whose connections are each handled by a task of their own."""
+    """A listening socket."""
 
     def __init__(self, server: asyncio.Server) -> None:
         self._server = server
 
     @property
     def port(self) -> int:
-        """The port, as given by the kernel where 0 was asked for."""
+        """The port number, as chosen by the kernel if 0 was requested."""
         return int(self._server.sockets[0].getsockname()[1])
 
     def close(self) -> None:
-        """Take no more connections; those that stand go on."""
+        """Stop accepting connections; established ones continue."""
         self._server.close()
 
 
@@ -238,12 +238,14 @@
     purpose: Purpose,
     on_stream: Callable[[ByteStream], None],
 ) -> Listener:
-    """Listen on `address`; `on_stream` is called in the event loop and starts the task."""
+    """Listen on `address`; `on_stream` is called in the event loop and starts the stream's task."""
 
-    def make() -> ByteStream:
+    def make_protocol() -> ByteStream:
         return ByteStream(traffic=traffic, purpose=purpose, on_open=on_stream)
 
-    server = await asyncio.get_running_loop().create_server(make, address, port, backlog=512)
+    server = await asyncio.get_running_loop().create_server(
+        make_protocol, address, port, backlog=512
+    )
     return Listener(server)
 
 
--- a/packages/wire/src/acaciayard_wire/_traffic.py
+++ b/packages/wire/src/acaciayard_wire/_traffic.py
@@ -1,4 +1,4 @@
-"""Counts the bytes that pass the sockets, by purpose."""
+"""Counts the bytes sent and received on sockets, by purpose."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 
 __all__ = ["PeerTraffic", "Purpose", "Traffic", "TrafficCounter", "TrafficTotals"]
 
-#: Peers by purpose that are counted apart; more are counted together.
-_MOST_PEERS: Final = 4096
-_OTHERS: Final = "others"
+#: Maximum of pairs of peer and purpose with a counter of their own; further peers share one.
+_MAX_PEERS: Final = 4096
+_OTHER_PEERS: Final = "others"
 
 
 class Purpose(Enum):
     """What a socket carries."""
 
-    #: That of `Enum` runs in the interpreter, and one is looked up for each piece that is read.
+    #: `Enum.__hash__` is Python code, and a member is looked up for every chunk that is read.
     __hash__ = object.__hash__
 
-    #: Probes, gossip and exchanges of members.
+    #: Probes, gossip and exchanges of member tables.
     MEMBERSHIP = "membership"
     #: Configuration records and snapshots between daemons.
     SPREAD = "spread"
@@ -28,17 +28,17 @@
     LOG = "log"
     #: Claims of idempotency keys.
     CLAIMS = "claims"
-    #: Callers' calls; not control traffic.
+    #: Calls of callers; not control traffic.
     CALLS = "calls"
 
 
 @frozen
 class TrafficTotals:
-    """Bytes counted so far for one purpose."""
+    """Snapshot of the byte counters of one purpose."""
 
-    #: Bytes handed to sockets.
+    #: Bytes written to sockets.
     sent: int
-    #: Bytes taken from sockets.
+    #: Bytes read from sockets.
     received: int
 
 
@@ -46,9 +46,9 @@
 class PeerTraffic:
     """Control bytes exchanged with one peer for one purpose."""
 
-    #: IP number of the peer, or `"others"` for those beyond the number that is kept apart.
+    #: IP address of the peer, or `"others"` for peers without a counter of their own.
     peer: str
-    #: What they were for.
+    #: Purpose of the traffic.
     purpose: Purpose
     #: Bytes sent and received.
     count: int
@@ -56,18 +56,18 @@
 
 @define
 class TrafficCounter:
-    """Bytes counted so far for one purpose, by whoever moves them."""
+    """Byte counters of one purpose; streams may update them directly."""
 
-    #: Bytes handed to sockets.
+    #: Bytes written to sockets.
     sent: int = 0
-    #: Bytes taken from sockets.
+    #: Bytes read from sockets.
     received: int = 0
 
 
 class Traffic:
-    """The counters of one daemon.
+    """The byte counters of one daemon.
 
-    Headers of the network below are not counted: a TCP byte is a byte of payload.
+    Only payload is counted, without the headers of TCP, UDP and the layers below.
     """
 
     def __init__(self) -> None:
@@ -75,41 +75,41 @@
         self._peers: dict[tuple[str, Purpose], int] = {}
 
     def counter(self, purpose: Purpose) -> TrafficCounter:
-        """The counter of a purpose whose peers aren't told apart, for those who count much."""
+        """The counter of a purpose, to be updated directly where peers are not counted."""
         return self._counters[purpose]
 
     def sent(self, purpose: Purpose, count: int, peer: str = "") -> None:
-        """Add `count` bytes that were handed to a socket, to the IP number `peer` if known."""
+        """Add `count` bytes written to a socket; `peer` is the IP address, if known."""
         self._counters[purpose].sent += count
         if peer and purpose is not Purpose.CALLS:
             self._count_peer(purpose, count, peer)
 
     def received(self, purpose: Purpose, count: int, peer: str = "") -> None:
-        """Add `count` bytes that were taken from a socket, from the IP number `peer` if known."""
+        """Add `count` bytes read from a socket; `peer` is the IP address, if known."""
         self._counters[purpose].received += count
         if peer and purpose is not Purpose.CALLS:
             self._count_peer(purpose, count, peer)
 
     def _count_peer(self, purpose: Purpose, count: int, peer: str) -> None:
         key = (peer, purpose)
-        if key not in self._peers and len(self._peers) >= _MOST_PEERS:
-            key = (_OTHERS, purpose)
+        if key not in self._peers and len(self._peers) >= _MAX_PEERS:
+            key = (_OTHER_PEERS, purpose)
         self._peers[key] = self._peers.get(key, 0) + count
 
     def busiest_peers(self, count: int) -> list[PeerTraffic]:
-        """Peers and purposes with the most control bytes in both directions, the most first."""
+        """The `count` pairs of peer and purpose with the most control bytes, largest first."""
         ordered = sorted(self._peers.items(), key=lambda item: item[1], reverse=True)
         return [PeerTraffic(peer, purpose, size) for (peer, purpose), size in ordered[:count]]
 
     def totals(self) -> dict[Purpose, TrafficTotals]:
-        """All counters as they stand."""
+        """Current values of all counters."""
         return {
             purpose: TrafficTotals(sent=counter.sent, received=counter.received)
             for purpose, counter in self._counters.items()
         }
 
     def control_bytes(self) -> int:
-        """Bytes in both directions for everything but callers' calls."""
+        """Bytes in both directions for all purposes except calls."""
         return sum(
             counter.sent + counter.received
             for purpose, counter in self._counters.items()
--- a/packages/wire/tests/test_wire.py
+++ b/packages/wire/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""Codec and counters."""
+"""Message codec, message streams, traffic counters and addresses."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
 
 CODEC = MessageCodec({1: Plain, 2: Nested, 3: Checked})
 
-NONSENSE = (
+INVALID_MESSAGES = (
     b"",
     b"\xc1",
     msgpack.packb(5),
@@ -68,7 +68,7 @@
 
 
 class CodecTest(unittest.TestCase):
-    def test_messages_come_back(self) -> None:
+    def test_messages_round_trip(self) -> None:
         for message in (
             Plain(1, 0.5, ["a"], b"x"),
             Plain(1, 0.5, []),
@@ -79,47 +79,47 @@
             with self.subTest(message):
                 self.assertEqual(CODEC.decode(CODEC.encode(message)), message)
 
-    def test_nonsense_is_refused(self) -> None:
-        for data in NONSENSE:
+    def test_invalid_messages_are_rejected(self) -> None:
+        for data in INVALID_MESSAGES:
             with self.subTest(data), self.assertRaises(MessageError):
                 CODEC.decode(data)
 
-    def test_fields_of_a_later_release_are_passed_over(self) -> None:
+    def test_fields_of_a_later_release_are_ignored(self) -> None:
         data = msgpack.packb([1, 1, 0.5, [], b"", "later"])
         self.assertEqual(CODEC.decode(data), Plain(1, 0.5, []))
 
-    def test_fields_of_an_earlier_release_have_defaults(self) -> None:
+    def test_missing_fields_of_an_earlier_release_have_defaults(self) -> None:
         self.assertEqual(CODEC.decode(msgpack.packb([1, 1, 2, []])), Plain(1, 2, []))
 
 
-class Pieces:
-    """A byte stream that brings what it was given, piece by piece, and then ends."""
+class FakeByteStream:
+    """A byte stream that returns the given chunks one by one and then ends."""
 
     peer = "127.0.0.1:1"
 
-    def __init__(self, pieces: list[bytes]) -> None:
-        self._pieces = pieces
+    def __init__(self, chunks: list[bytes]) -> None:
+        self._chunks = chunks
 
     async def receive(self) -> bytes:
-        return self._pieces.pop(0) if self._pieces else b""
+        return self._chunks.pop(0) if self._chunks else b""
 
 
-def cut(data: bytes, seed: random.Random) -> list[bytes]:
-    """The data in pieces of random lengths, most of them short."""
-    pieces = []
+def split_randomly(data: bytes, rng: random.Random) -> list[bytes]:
+    """Split the data into chunks of random lengths, most of them short."""
+    chunks = []
     while data:
-        length = seed.choice((1, 2, 3, 7, 50, 5000))
-        pieces.append(data[:length])
+        length = rng.choice((1, 2, 3, 7, 50, 5000))
+        chunks.append(data[:length])
         data = data[length:]
-    return pieces
+    return chunks
 
 
 class MessageStreamTest(unittest.TestCase):
-    def receive_all(self, pieces: list[bytes]) -> list[object]:
+    def receive_all(self, chunks: list[bytes]) -> list[object]:
         received: list[object] = []
 
         async def run() -> None:
-            stream = MessageStream(Pieces(pieces), CODEC)  # type: ignore[arg-type]
+            stream = MessageStream(FakeByteStream(chunks), CODEC)  # type: ignore[arg-type]
             try:
                 while True:
                     received.append(await stream.receive())
@@ -129,48 +129,48 @@
         anyio.run(run)
         return received
 
-    def test_messages_come_whole_however_they_are_cut(self) -> None:
-        seed = random.Random(1)
+    def test_messages_are_received_whole_however_they_are_split(self) -> None:
+        rng = random.Random(1)
         for _ in range(40):
             sent = [
-                Plain(number, 0.5, ["a"] * seed.randrange(3), b"x" * seed.choice((0, 10, 4000)))
-                for number in range(seed.randrange(1, 9))
+                Plain(number, 0.5, ["a"] * rng.randrange(3), b"x" * rng.choice((0, 10, 4000)))
+                for number in range(rng.randrange(1, 9))
             ]
             data = b"".join(CODEC.encode(message) for message in sent)
-            self.assertEqual(self.receive_all(cut(data, seed)), sent)
+            self.assertEqual(self.receive_all(split_randomly(data, rng)), sent)
             self.assertEqual(self.receive_all([data]), sent)
 
-    def test_nonsense_ends_the_stream(self) -> None:
+    def test_invalid_bytes_raise_an_error(self) -> None:
         good = CODEC.encode(Plain(1, 0.5, []))
-        for pieces in (
+        for chunks in (
             [b"\xc1"],
             [good + b"\xc1"],
             [good[:2], b"\xc1" * 9],
             [b"\x92\x01", b"\xc1"],
         ):
-            with self.subTest(pieces), self.assertRaises(MessageError):
-                self.receive_all(pieces)
+            with self.subTest(chunks), self.assertRaises(MessageError):
+                self.receive_all(chunks)
 
-    def test_nothing_is_kept_for_a_stream_between_messages(self) -> None:
+    def test_no_unpacker_is_kept_between_messages(self) -> None:
         async def run() -> None:
             data = CODEC.encode(Plain(1, 0.5, [], b"x" * 100))
-            stream = MessageStream(Pieces([data[:9], data[9:], data]), CODEC)  # type: ignore[arg-type]
+            stream = MessageStream(FakeByteStream([data[:9], data[9:], data]), CODEC)  # type: ignore[arg-type]
             for _ in range(2):
                 await stream.receive()
-                self.assertIsNone(stream._pieces)
+                self.assertIsNone(stream._unpacker)
 
         anyio.run(run)
 
 
 class TrafficTest(unittest.TestCase):
-    def test_calls_are_no_control_traffic(self) -> None:
+    def test_calls_are_not_control_traffic(self) -> None:
         traffic = Traffic()
         traffic.sent(Purpose.SPREAD, 10)
         traffic.received(Purpose.LOG, 5)
         traffic.sent(Purpose.CALLS, 1000)
         self.assertEqual(traffic.control_bytes(), 15)
 
-    def test_peers_are_counted_apart_by_purpose(self) -> None:
+    def test_peers_are_counted_per_purpose(self) -> None:
         traffic = Traffic()
         traffic.sent(Purpose.SPREAD, 10, "10.0.0.1")
         traffic.received(Purpose.SPREAD, 30, "10.0.0.1")
