--- a/packages/quotas/src/acaciayard_quotas/__init__.py
+++ b/packages/quotas/src/acaciayard_quotas/__init__.py
@@ -1,27 +1,27 @@
-"""Usage caps of workspaces, kept over all daemons without a controller."""
+"""Usage caps of workspaces, enforced across all daemons without a central coordinator."""
 
 from ._bucket import TokenBucket
 from ._connection import ConnectedCaps
-from ._granting import Granting, SeatNews, SeatReport
-from ._limits import LONGEST_TERM, CapRules, SeatLimit, limit_of
+from ._limits import MAX_TOKEN_TTL, CapRules, SeatLimit, limit_of
 from ._mesh_caps import MeshCaps
-from ._messages import QUOTA_MESSAGES, TokenAnswer, TokenAsk, TokenReturn
-from ._seats import GONE_FOR, Seats
+from ._messages import QUOTA_MESSAGES, TokenRequest, TokenResponse, TokenReturn
+from ._seat_buckets import SeatBuckets, SeatNews, SeatReport
+from ._seats import HANDOVER_DELAY, Seats
 
 __all__ = [
-    "GONE_FOR",
-    "LONGEST_TERM",
+    "HANDOVER_DELAY",
+    "MAX_TOKEN_TTL",
     "QUOTA_MESSAGES",
     "CapRules",
     "ConnectedCaps",
-    "Granting",
+    "SeatBuckets",
     "MeshCaps",
     "SeatLimit",
     "SeatNews",
     "SeatReport",
     "Seats",
-    "TokenAnswer",
-    "TokenAsk",
+    "TokenResponse",
+    "TokenRequest",
     "TokenBucket",
     "TokenReturn",
     "limit_of",
--- a/packages/quotas/src/acaciayard_quotas/_bucket.py
+++ b/packages/quotas/src/acaciayard_quotas/_bucket.py
@@ -1,4 +1,4 @@
-"""The tokens of one seat."""
+"""The token bucket of one seat."""
 
 from __future__ import annotations
 
@@ -12,87 +12,90 @@
 
 __all__ = ["TokenBucket"]
 
-#: Longest time, in seconds, that a refused caller is told to wait.
-_LONGEST_WAIT: Final = 5.0
+#: Longest retry delay, in seconds, that a refused caller is given.
+_MAX_RETRY_AFTER: Final = 5.0
 
 
-#: Greatest share of its tokens that a seat gives to one daemon at once: where they are short, the
-#: others are not to find it empty.
-_MOST_GIVEN: Final = 0.25
+#: Greatest share of a seat's available tokens that one grant may take, so that a single daemon
+#: can't empty the bucket while tokens are scarce.
+_MAX_GRANT_SHARE: Final = 0.25
 
 
 @define
 class _Grant:
-    """Tokens that another daemon may hold."""
+    """Tokens granted to another daemon that may not have been spent yet."""
 
-    #: Who holds them, and by which question.
+    #: Host that holds the tokens, and the number of its request.
     holder: tuple[str, int]
-    #: How many of them have not come back.
+    #: Tokens that have not been returned.
     count: int
-    #: When none of them is held any more.
-    ends: float
+    #: When the tokens expire at their holder.
+    expires_at: float
 
 
 class TokenBucket:
-    """A token bucket that counts what it has granted until nobody can hold it any more.
+    """A token bucket that counts granted tokens as present until they expire.
 
-    Tokens are made at the seat's rate while fewer than its depth exist, here or at a holder.  So in
-    any span no more can be spent than exist at its start and are made in it, whatever becomes of
-    the messages between.
+    Tokens are added at the seat's rate while fewer than its depth exist, in the bucket or at a
+    holder. In any time span, therefore, no more tokens can be spent than exist at its start plus
+    those added during it, even if messages are lost, delayed or duplicated.
 
     Example:
-        bucket = TokenBucket(limit, made_from=0.0)
-        bucket.grant(("oslo-3", 17), wanted=4, now=1.0, share=1.0)      # 4, or what there is
+        bucket = TokenBucket(limit, refill_from=0.0)
+        bucket.grant(("oslo-3", 17), wanted=4, now=1.0, share=1.0)      # 4, or fewer if scarce
     """
 
-    def __init__(self, limit: SeatLimit, *, made_from: float) -> None:
+    def __init__(self, limit: SeatLimit, *, refill_from: float) -> None:
         self._limit = limit
         self._tokens = 0.0
-        self._made_until = made_from
+        self._refilled_at = refill_from
         self._grants: deque[_Grant] = deque()
         self._granted = 0
         self._backlog = 0.0
-        self._backlog_at = made_from
+        self._backlog_at = refill_from
 
     @property
     def limit(self) -> SeatLimit:
-        """What the seat may allow."""
+        """The limit of the seat."""
         return self._limit
 
     @property
     def held_elsewhere(self) -> int:
-        """Tokens that daemons may hold."""
+        """Granted tokens that have neither expired nor been returned."""
         return self._granted
 
     def tokens(self, *, now: float, share: float) -> float:
-        """Tokens that are here; `share` of the rate makes them."""
-        self._release(now)
-        if now > self._made_until:
-            made = self._limit.rate * share * (now - self._made_until)
-            room = max(0.0, self._limit.depth - self._granted - self._tokens)
-            self._tokens += min(made, room)
-            self._made_until = now
+        """Refill the bucket at `share` of the rate and return the available tokens."""
+        self._expire_grants(now)
+        if now > self._refilled_at:
+            added = self._limit.rate * share * (now - self._refilled_at)
+            headroom = max(0.0, self._limit.depth - self._granted - self._tokens)
+            self._tokens += min(added, headroom)
+            self._refilled_at = now
         return self._tokens
 
-    def change(self, limit: SeatLimit, *, now: float, share: float) -> None:
-        """Follow a changed cap; a lower one takes tokens away at once, a higher one gives none."""
+    def set_limit(self, limit: SeatLimit, *, now: float, share: float) -> None:
+        """Apply a changed limit.
+
+        A lower limit removes surplus tokens at once; a higher one adds none.
+        """
         self.tokens(now=now, share=share)
         self._limit = limit
         self._tokens = max(0.0, min(self._tokens, limit.depth - self._granted))
 
     def grant(self, holder: tuple[str, int], *, wanted: int, now: float, share: float) -> int:
-        """Give up to `wanted` tokens away for the seat's term; how many."""
+        """Grant up to `wanted` tokens for the seat's TTL and return how many were granted."""
         tokens = math.floor(self.tokens(now=now, share=share))
-        count = min(wanted, tokens, max(1, math.floor(tokens * _MOST_GIVEN)))
+        count = min(wanted, tokens, max(1, math.floor(tokens * _MAX_GRANT_SHARE)))
         if count > 0:
             self._tokens -= count
             self._granted += count
-            self._grants.append(_Grant(holder, count, now + self._limit.term))
+            self._grants.append(_Grant(holder, count, now + self._limit.ttl))
         return max(0, count)
 
     def take_back(self, holder: tuple[str, int], count: int, *, now: float) -> None:
-        """Tokens come back unspent; what comes too late has been counted as spent."""
-        self._release(now)
+        """Return unspent tokens to the bucket; tokens that have expired count as spent."""
+        self._expire_grants(now)
         for grant in self._grants:
             if grant.holder == holder:
                 returned = min(count, grant.count)
@@ -101,18 +104,19 @@
                 self._tokens += returned
                 return
 
-    def room_in(self, refused: float, *, now: float, share: float) -> float:
-        """Seconds after which there is room for callers that are refused now.
+    def retry_after(self, refused: float, *, now: float, share: float) -> float:
+        """Return the seconds after which `refused` more callers can be served.
 
-        Those refused before them come back too, so that each waits for the tokens of all.
+        Callers that were refused earlier retry as well, so the delay covers the tokens that all of
+        them need.
         """
         rate = max(self._limit.rate * share, 1e-9)
-        passed = max(0.0, now - self._backlog_at)
-        self._backlog = max(0.0, self._backlog - passed * rate) + refused
+        elapsed = max(0.0, now - self._backlog_at)
+        self._backlog = max(0.0, self._backlog - elapsed * rate) + refused
         self._backlog_at = now
-        return min(_LONGEST_WAIT, self._backlog / rate)
+        return min(_MAX_RETRY_AFTER, self._backlog / rate)
 
-    def _release(self, now: float) -> None:
-        """Forget grants whose term is over: what they gave has been spent or is void."""
-        while self._grants and self._grants[0].ends <= now:
+    def _expire_grants(self, now: float) -> None:
+        """Drop expired grants; their tokens were spent or can't be spent any more."""
+        while self._grants and self._grants[0].expires_at <= now:
             self._granted -= self._grants.popleft().count
--- a/packages/quotas/src/acaciayard_quotas/_connection.py
+++ b/packages/quotas/src/acaciayard_quotas/_connection.py
@@ -1,4 +1,4 @@
-"""Connects the caps of one daemon with the others: words by datagram, who runs by membership."""
+"""Connects the caps of one daemon to the control port and to cluster membership."""
 
 from __future__ import annotations
 
@@ -9,22 +9,22 @@
 from acaciayard_timers import TimerService
 from acaciayard_wire import ControlPort
 
-from ._granting import SeatNews
 from ._limits import CapRules
 from ._mesh_caps import MeshCaps
-from ._messages import TokenAnswer, TokenAsk, TokenReturn
+from ._messages import TokenRequest, TokenResponse, TokenReturn
+from ._seat_buckets import SeatNews
 from ._seats import Seats
 
 __all__ = ["ConnectedCaps"]
 
 
 class ConnectedCaps:
-    """The caps of one daemon, with the seats as it sees them.
+    """The caps of one daemon, with seat ownership derived from its view of the membership.
 
     Example:
         connected = ConnectedCaps(members=members, port=port, rules=rules, timers=timers, seed=seed)
         versions.on_in_force(connected.caps.use)
-        connected.settle()          # once the others have been met
+        connected.settle()          # after contacting the other daemons
     """
 
     def __init__(
@@ -51,31 +51,31 @@
             tell=tell,
         )
         for member in members.table.others():
-            self._note(None, member)
-        members.table.subscribe(self._note)
-        members.on_position(lambda _host, _position: self._seats.note_heard())
-        port.on_datagram(TokenAsk, lambda ask, _sender: self._caps.take_ask(ask))
-        port.on_datagram(TokenAnswer, lambda answer, _sender: self._caps.take_answer(answer))
-        port.on_datagram(TokenReturn, lambda told, _sender: self._caps.take_return(told))
+            self._update_member(None, member)
+        members.table.subscribe(self._update_member)
+        members.on_position(lambda _host, _position: self._seats.note_message())
+        port.on_datagram(TokenRequest, lambda request, _sender: self._caps.handle_request(request))
+        port.on_datagram(TokenResponse, lambda reply, _sender: self._caps.handle_response(reply))
+        port.on_datagram(TokenReturn, lambda returned, _sender: self._caps.handle_return(returned))
 
     @property
     def caps(self) -> MeshCaps:
-        """What entries ask."""
+        """The caps that entries consult for each call."""
         return self._caps
 
     def settle(self) -> None:
-        """The others have been met, as far as there are any."""
+        """Note that this daemon has contacted the other daemons, if there are any."""
         self._seats.settle()
 
-    def _note(self, _before: Member | None, now: Member) -> None:
+    def _update_member(self, _before: Member | None, now: Member) -> None:
         if now.host == self._members.table.own.host:
             return
         if now.state == MemberState.ALIVE:
-            self._seats.note_heard()  # only others tell that somebody lives
+            self._seats.note_message()  # only another daemon can report a member as alive
         if now.is_present:
             self._seats.note_present(now.host)
         else:
-            self._seats.note_gone(now.host, has_left=now.state == MemberState.LEFT)
+            self._seats.note_departed(now.host, has_left=now.state == MemberState.LEFT)
 
     def _send(self, host: str, message: object) -> None:
         member = self._members.table.find(host)
--- a/packages/quotas/src/acaciayard_quotas/_mesh_caps.py
+++ b/packages/quotas/src/acaciayard_quotas/_mesh_caps.py
@@ -1,4 +1,4 @@
-"""The caps of all workspaces as one daemon keeps them with the others."""
+"""Enforces workspace caps on one daemon, with tokens that seat owners grant."""
 
 from __future__ import annotations
 
@@ -17,81 +17,84 @@
 from acaciayard_resources import Configuration, Workspace
 from acaciayard_timers import TimerService
 
-from ._granting import Granting, SeatNews, SeatReport
-from ._holdings import Holdings, Lot
+from ._held_tokens import HeldTokens, TokenBatch
 from ._limits import CapRules, limit_of
-from ._messages import TokenAnswer, TokenAsk, TokenReturn
-from ._seats import GONE_FOR, Seats
+from ._messages import TokenRequest, TokenResponse, TokenReturn
+from ._seat_buckets import SeatBuckets, SeatNews, SeatReport
+from ._seats import HANDOVER_DELAY, Seats
 
 __all__ = ["MeshCaps"]
 
-#: Seconds within which the holder of a seat answers; it is a few milliseconds away.
-_ANSWER_WITHIN: Final = 0.05
-#: Times that a silent seat is asked for one call: a word may be lost.
-_ROUNDS: Final = 2
-#: Seconds for which a seat is not asked again that nobody holds, or whose holder is silent.
-_SILENT_FOR: Final = 0.25
-#: Seconds after which a caller may come back where no seat was in reach.
+#: Seconds to wait for the response of a seat owner; a round trip takes a few milliseconds.
+_RESPONSE_TIMEOUT: Final = 0.05
+#: Rounds of requests for one call; a seat whose response is missing is asked again, as datagrams
+#: may be lost.
+_MAX_ROUNDS: Final = 2
+#: Seconds for which a seat without an owner, or with one that doesn't respond, is not asked again.
+_UNREACHABLE_BACKOFF: Final = 0.25
+#: Retry delay, in seconds, of a caller that is refused because no seat was reachable.
 _UNREACHED_RETRY_AFTER: Final = 0.3
-#: Shortest time that a refused caller is told to wait, and how far callers are spread around it.
-_LEAST_RETRY_AFTER: Final = 0.05
-_SPREAD: Final = (0.8, 1.3)
-#: Share of its term after which an unspent token goes back to its seat, and seconds between looks.
-_IDLE_AGE: Final = 0.6
-_SWEEP: Final = 0.1
-#: Seconds without a word of another daemon after which this one allows its own share of each cap:
-#: by then no other side of the cut counts it among its own.
-_ALONE_AFTER: Final = GONE_FOR + 1.0
-#: Workspaces of which refusals are counted by name; those beyond are counted together.
-_MOST_COUNTED: Final = 200
+#: Shortest retry delay, in seconds, and the range of its random jitter factor.
+_MIN_RETRY_AFTER: Final = 0.05
+_RETRY_JITTER: Final = (0.8, 1.3)
+#: Share of the TTL after which unspent tokens are returned to their seat, and the seconds between
+#: checks.
+_IDLE_TTL_SHARE: Final = 0.6
+_IDLE_CHECK_INTERVAL: Final = 0.1
+#: Seconds without a message from any other daemon after which this one serves its own share of each
+#: cap. By then no other side of the partition counts it as one of its daemons.
+_FALLBACK_AFTER: Final = HANDOVER_DELAY + 1.0
+#: Most workspaces whose refusals are counted by name; those of further ones are counted together.
+_MAX_NAMED_WORKSPACES: Final = 200
 _OTHERS: Final = "(others)"
 
 
 @frozen
-class _Spent(CountedCall):
-    """A call that was counted by a token."""
+class _TokenCall(CountedCall):
+    """A call that was counted with a token."""
 
     workspace: str
-    lot: Lot
+    batch: TokenBatch
 
 
 @define(eq=False)
-class _Question:
-    """A question that is under way."""
+class _PendingRequest:
+    """A token request that awaits its response."""
 
-    asked: TokenAsk
-    sent: float
-    answered: anyio.Event = field(factory=anyio.Event)
-    answer: TokenAnswer | None = None
+    request: TokenRequest
+    sent_at: float
+    responded: anyio.Event = field(factory=anyio.Event)
+    response: TokenResponse | None = None
 
 
 @define(eq=False)
-class _State:
-    """What this daemon knows of one workspace's cap."""
-
-    holdings: Holdings = field(factory=Holdings)
-    #: Seat that is asked first.
-    first: int = 0
-    #: Until when each seat is not asked, and until when room is expected there.
-    closed_until: dict[int, float] = field(factory=dict)
-    room_at: dict[int, float] = field(factory=dict)
-    #: Tokens that questions under way want.
+class _WorkspaceState:
+    """Client-side state of one workspace's cap."""
+
+    held_tokens: HeldTokens = field(factory=HeldTokens)
+    #: Seat that is asked first, modulo the number of seats.
+    preferred_seat: int = 0
+    #: By seat, until when it is not asked, and when it is expected to have tokens.
+    backoff_until: dict[int, float] = field(factory=dict)
+    retry_at: dict[int, float] = field(factory=dict)
+    #: Tokens wanted by requests that await a response.
     wanted: int = 0
-    #: Calls of late, each counted less the longer ago it was.
+    #: Number of recent calls, each weighted by exponential decay over the token TTL.
     usage: float = 0.0
     used_at: float = 0.0
-    #: Calls refused here that no seat has heard of.
-    refused: int = 0
-    #: What this daemon may allow by itself while it is cut off.
-    own_tokens: float = 0.0
-    own_until: float = 0.0
+    #: Calls refused here that were not reported to any seat yet.
+    unreported_refusals: int = 0
+    #: Tokens of the local fallback bucket that is used while this daemon is isolated.
+    fallback_tokens: float = 0.0
+    fallback_refilled_at: float = 0.0
 
 
 class MeshCaps(UsageCaps):
-    """Spends tokens that the holders of a workspace's seats have granted.
+    """Counts calls against tokens that the owners of a workspace's seats grant.
 
-    A call with a token in hand is counted at once.  Another one asks a seat for tokens, as many as
-    have been used of late, and the next seat where that one has none or is silent.
+    A call is counted at once if a token is available locally. Otherwise a seat is asked for as many
+    tokens as were recently used, and then the next seat if that one has no tokens or does not
+    respond.
 
     Example:
         caps = MeshCaps("oslo-1", seats=seats, rules=rules, timers=timers, seed=seed, send=send)
@@ -116,11 +119,11 @@
         self._timers = timers
         self._seed = seed
         self._send = send
-        self._granting = Granting(own, seats=seats, rules=rules, timers=timers, tell=tell)
+        self._seat_buckets = SeatBuckets(own, seats=seats, rules=rules, timers=timers, tell=tell)
         self._caps: dict[str, Workspace] = {}
-        self._states: dict[str, _State] = {}
-        self._questions: dict[int, _Question] = {}
-        # Numbers of an earlier start of this daemon are not used again while they may be answered.
+        self._states: dict[str, _WorkspaceState] = {}
+        self._pending: dict[int, _PendingRequest] = {}
+        # A random start keeps late responses to an earlier process of this daemon from matching.
         self._numbers = itertools.count(seed.randrange(1 << 48))
         self._refused: Counter[str] = Counter()
         self._unreached = 0
@@ -132,203 +135,225 @@
 
     @property
     def refused(self) -> Counter[str]:
-        """Calls refused here so far, by workspace; a bounded number of names."""
+        """Calls refused by this daemon by workspace, for a bounded number of names."""
         return self._refused
 
     @property
     def unreached(self) -> int:
-        """Calls refused here so far because no seat was in reach."""
+        """Calls refused by this daemon because no seat was reachable."""
         return self._unreached
 
     def held(self, workspace: str) -> int:
-        """Tokens of a workspace that are held here."""
+        """Unexpired tokens of a workspace that this daemon holds."""
         state = self._states.get(workspace)
-        return state.holdings.count(self._timers.now()) if state is not None else 0
+        return state.held_tokens.count(self._timers.now()) if state is not None else 0
 
     def seats_here(self, workspace: str) -> tuple[SeatReport, ...]:
-        """How the seats of a workspace stand that are held here."""
-        return self._granting.reports(workspace)
+        """Snapshots of the seats of a workspace that this daemon owns."""
+        return self._seat_buckets.reports(workspace)
 
     def use(self, configuration: Configuration) -> None:
-        """Follow the caps of a configuration."""
+        """Apply the caps of a new configuration."""
         self._caps = {each.name: each for each in configuration.all_of(Workspace) if each.has_cap}
         self._states = {name: s for name, s in self._states.items() if name in self._caps}
-        self._granting.use(self._caps)
+        self._seat_buckets.use(self._caps)
 
-    # --- calls ----------------------------------------------------------------------------------
+    # --- counting calls ---------------------------------------------------------------------------
 
     async def take(self, workspace: str) -> CountedCall | NotRun:
         cap = self._caps.get(workspace)
         if cap is None:
             return UNCOUNTED
         state = self._state_of(cap)
-        self._note_use(state, cap)
-        lot = state.holdings.take(self._timers.now())
-        if lot is None:
-            lot = await self._ask_seats(state, cap)
-        if lot is not None:
-            return _Spent(workspace, lot)
+        self._record_use(state, cap)
+        batch = state.held_tokens.take(self._timers.now())
+        if batch is None:
+            batch = await self._request_tokens(state, cap)
+        if batch is not None:
+            return _TokenCall(workspace, batch)
         return self._refuse(state, cap)
 
     def give_back(self, counted: CountedCall) -> None:
-        if isinstance(counted, _Spent):
+        if isinstance(counted, _TokenCall):
             state = self._states.get(counted.workspace)
             if state is not None:
-                state.holdings.give_back(counted.lot, self._timers.now())
+                state.held_tokens.give_back(counted.batch, self._timers.now())
 
-    def _state_of(self, cap: Workspace) -> _State:
+    def _state_of(self, cap: Workspace) -> _WorkspaceState:
         state = self._states.get(cap.name)
         if state is None:
-            first = zlib.crc32(f"{self._own}\0{cap.name}".encode())
-            state = self._states[cap.name] = _State(first=first)
+            preferred_seat = zlib.crc32(f"{self._own}\0{cap.name}".encode())
+            state = self._states[cap.name] = _WorkspaceState(preferred_seat=preferred_seat)
         return state
 
-    def _note_use(self, state: _State, cap: Workspace) -> None:
+    def _record_use(self, state: _WorkspaceState, cap: Workspace) -> None:
         now = self._timers.now()
-        term = limit_of(cap, self._rules).term
-        state.usage = 1 + state.usage * math.exp((state.used_at - now) / term)
+        ttl = limit_of(cap, self._rules).ttl
+        state.usage = 1 + state.usage * math.exp((state.used_at - now) / ttl)
         state.used_at = now
 
-    def _refuse(self, state: _State, cap: Workspace) -> NotRun:
-        name = cap.name if cap.name in self._refused or self._has_room() else _OTHERS
+    def _refuse(self, state: _WorkspaceState, cap: Workspace) -> NotRun:
+        name = cap.name if cap.name in self._refused or self._can_name_more() else _OTHERS
         self._refused[name] += 1
-        state.refused += 1
+        state.unreported_refusals += 1
         now = self._timers.now()
         seats = limit_of(cap, self._rules).seats
-        known = [state.room_at[seat] for seat in range(seats) if seat in state.room_at]
+        known = [state.retry_at[seat] for seat in range(seats) if seat in state.retry_at]
         if not known:
             self._unreached += 1
-            reason = f"who counts the calls of workspace {cap.name!r} is out of reach"
-            return NotRun(reason, _UNREACHED_RETRY_AFTER * self._seed.uniform(*_SPREAD))
-        room_in = max(_LEAST_RETRY_AFTER, min(known) - now) * self._seed.uniform(*_SPREAD)
+            reason = f"all quota seats of workspace {cap.name!r} are out of reach"
+            return NotRun(reason, _UNREACHED_RETRY_AFTER * self._seed.uniform(*_RETRY_JITTER))
+        retry_after = max(_MIN_RETRY_AFTER, min(known) - now) * self._seed.uniform(*_RETRY_JITTER)
         reason = (
             f"workspace {cap.name!r} is over its cap of {cap.calls_per_second:g} calls a second"
         )
-        return NotRun(reason, room_in)
+        return NotRun(reason, retry_after)
 
-    def _has_room(self) -> bool:
-        return len(self._refused) < _MOST_COUNTED
+    def _can_name_more(self) -> bool:
+        return len(self._refused) < _MAX_NAMED_WORKSPACES
 
-    # --- tokens from the seats ------------------------------------------------------------------
+    # --- requesting tokens ------------------------------------------------------------------------
 
-    async def _ask_seats(self, state: _State, cap: Workspace) -> Lot | None:
+    async def _request_tokens(self, state: _WorkspaceState, cap: Workspace) -> TokenBatch | None:
         count = limit_of(cap, self._rules).seats
-        places = [(state.first + step) % count for step in range(count)]
-        for _ in range(_ROUNDS):
-            places = [each for each in places if self._is_open(state, each)]
-            for seat in tuple(places):
-                has_answered = await self._ask(state, cap.name, seat)
-                lot = state.holdings.take(self._timers.now())
-                if lot is not None:
-                    state.first = seat
-                    return lot
-                if has_answered:
-                    places.remove(seat)
-            if not places:
+        candidates = [(state.preferred_seat + step) % count for step in range(count)]
+        for _ in range(_MAX_ROUNDS):
+            candidates = [each for each in candidates if self._may_ask(state, each)]
+            for seat in tuple(candidates):
+                has_responded = await self._request_from(state, cap.name, seat)
+                batch = state.held_tokens.take(self._timers.now())
+                if batch is not None:
+                    state.preferred_seat = seat
+                    return batch
+                if has_responded:
+                    candidates.remove(seat)
+            if not candidates:
                 break
-        for seat in places:
-            self._close(state, seat)
-        return self._own_share(state, cap)
-
-    def _is_open(self, state: _State, seat: int) -> bool:
-        return state.closed_until.get(seat, 0.0) <= self._timers.now()
-
-    async def _ask(self, state: _State, workspace: str, seat: int) -> bool:
-        """Ask a seat, and hold what it grants; whether that is known to be all that it can."""
-        holder = self._seats.holder_of(workspace, seat)
-        if holder is None or self._seats.is_cut_off:
-            self._close(state, seat)
+        for seat in candidates:
+            self._back_off(state, seat)
+        return self._take_fallback(state, cap)
+
+    def _may_ask(self, state: _WorkspaceState, seat: int) -> bool:
+        return state.backoff_until.get(seat, 0.0) <= self._timers.now()
+
+    async def _request_from(self, state: _WorkspaceState, workspace: str, seat: int) -> bool:
+        """Request tokens from a seat and keep those granted.
+
+        Returns `False` if the response is missing, so that asking again may help.
+        """
+        owner = self._seats.owner_of(workspace, seat)
+        if owner is None or self._seats.is_isolated:
+            self._back_off(state, seat)
             return True
         wanted = max(1, math.floor(state.usage) - state.wanted)
-        ask = TokenAsk(self._own, next(self._numbers), workspace, seat, wanted, state.refused)
-        state.refused = 0
-        question = _Question(ask, self._timers.now())
-        if holder == self._own:
-            self._take_granted(state, question, self._granting.answer(ask))
+        request = TokenRequest(
+            self._own, next(self._numbers), workspace, seat, wanted, state.unreported_refusals
+        )
+        state.unreported_refusals = 0
+        pending = _PendingRequest(request, self._timers.now())
+        if owner == self._own:
+            self._apply_response(state, pending, self._seat_buckets.handle_request(request))
             return True
-        self._questions[ask.number] = question
+        self._pending[request.number] = pending
         state.wanted += wanted
         try:
-            self._send(holder, ask)
-            with self._timers.timeout(_ANSWER_WITHIN):
-                await question.answered.wait()
+            self._send(owner, request)
+            with self._timers.timeout(_RESPONSE_TIMEOUT):
+                await pending.responded.wait()
         finally:
             state.wanted -= wanted
-            self._questions.pop(ask.number, None)
-        if question.answer is None:
+            self._pending.pop(request.number, None)
+        if pending.response is None:
             return False
-        self._take_granted(state, question, question.answer)
+        self._apply_response(state, pending, pending.response)
         return True
 
-    def _close(self, state: _State, seat: int) -> None:
-        """Nobody allows anything for a seat at present."""
-        state.closed_until[seat] = self._timers.now() + _SILENT_FOR
-        state.room_at.pop(seat, None)
+    def _back_off(self, state: _WorkspaceState, seat: int) -> None:
+        """Stop asking a seat for a while, as nobody grants its tokens at present."""
+        state.backoff_until[seat] = self._timers.now() + _UNREACHABLE_BACKOFF
+        state.retry_at.pop(seat, None)
 
-    def _take_granted(self, state: _State, question: _Question, answer: TokenAnswer) -> None:
+    def _apply_response(
+        self, state: _WorkspaceState, pending: _PendingRequest, response: TokenResponse
+    ) -> None:
         now = self._timers.now()
-        ask = question.asked
-        if not answer.is_owner:
-            self._close(state, ask.seat)
+        request = pending.request
+        if not response.is_owner:
+            self._back_off(state, request.seat)
             return
-        state.room_at[ask.seat] = now + answer.room_in
-        if answer.granted:
-            ends = question.sent + answer.term
-            lot = Lot(answer.host, ask.number, ask.seat, answer.granted, question.sent, ends)
-            state.holdings.add(lot)
+        state.retry_at[request.seat] = now + response.retry_after
+        if response.granted:
+            expires_at = pending.sent_at + response.ttl
+            batch = TokenBatch(
+                response.host,
+                request.number,
+                request.seat,
+                response.granted,
+                pending.sent_at,
+                expires_at,
+            )
+            state.held_tokens.add(batch)
             self._has_tokens.set()
         else:
-            state.closed_until[ask.seat] = now + answer.dry_for
+            state.backoff_until[request.seat] = now + response.backoff
+
+    def _take_fallback(self, state: _WorkspaceState, cap: Workspace) -> TokenBatch | None:
+        """Take a token from the local fallback bucket.
 
-    def _own_share(self, state: _State, cap: Workspace) -> Lot | None:
-        """What this daemon may allow by itself: its part of the cap, once it is alone for long."""
-        alone_for = self._seats.cut_off_for - _ALONE_AFTER
-        if alone_for <= 0:
+        The bucket serves this daemon's share of the cap once it has been isolated for long enough.
+        """
+        fallback_for = self._seats.isolated_for - _FALLBACK_AFTER
+        if fallback_for <= 0:
             return None
         now = self._timers.now()
         rate = cap.calls_per_second / self._seats.count
-        since = max(state.own_until, now - alone_for)
-        state.own_tokens = min(max(1.0, rate), state.own_tokens + rate * (now - since))
-        state.own_until = now
-        if state.own_tokens < 1:
+        refilled_at = max(state.fallback_refilled_at, now - fallback_for)
+        state.fallback_tokens = min(
+            max(1.0, rate), state.fallback_tokens + rate * (now - refilled_at)
+        )
+        state.fallback_refilled_at = now
+        if state.fallback_tokens < 1:
             return None
-        state.own_tokens -= 1
-        return Lot(self._own, 0, 0, 0, now, now)
+        state.fallback_tokens -= 1
+        return TokenBatch(self._own, 0, 0, 0, now, now)
 
-    # --- words of other daemons -----------------------------------------------------------------
+    # --- messages from other daemons --------------------------------------------------------------
 
-    def take_ask(self, ask: TokenAsk) -> None:
-        """Another daemon asks for tokens."""
-        self._send(ask.host, self._granting.answer(ask))
+    def handle_request(self, request: TokenRequest) -> None:
+        """Answer the token request of another daemon."""
+        self._send(request.host, self._seat_buckets.handle_request(request))
 
-    def take_answer(self, answer: TokenAnswer) -> None:
-        """A seat has answered; what comes too late, or twice, is passed over."""
-        question = self._questions.get(answer.number)
-        if question is not None and question.answer is None:
-            question.answer = answer
-            question.answered.set()
+    def handle_response(self, response: TokenResponse) -> None:
+        """Complete the request that awaits the response; ignore late and duplicate responses."""
+        pending = self._pending.get(response.number)
+        if pending is not None and pending.response is None:
+            pending.response = response
+            pending.responded.set()
 
-    def take_return(self, told: TokenReturn) -> None:
-        """Another daemon gives tokens back."""
-        self._granting.take_back(told)
+    def handle_return(self, message: TokenReturn) -> None:
+        """Take back unspent tokens from another daemon."""
+        self._seat_buckets.handle_return(message)
 
     async def run(self) -> None:
-        """Give tokens back that are not used, for ever; nothing wakes while none are held."""
+        """Return unused tokens until cancelled; no timer runs while none are held."""
         while True:
             await self._has_tokens.wait()
-            await self._timers.sleep(_SWEEP)
+            await self._timers.sleep(_IDLE_CHECK_INTERVAL)
             if not self.return_idle():
                 self._has_tokens = anyio.Event()
 
     def return_idle(self) -> bool:
-        """Give tokens back that have lain idle for most of their term; whether others are held."""
+        """Return tokens that were unused for most of their TTL.
+
+        Returns whether any batches are left.
+        """
         now = self._timers.now()
         for name, state in self._states.items():
-            for lot in state.holdings.idle(now, age=_IDLE_AGE):
-                told = TokenReturn(self._own, lot.number, name, lot.seat, lot.count)
-                lot.count = 0
-                if lot.source == self._own:
-                    self._granting.take_back(told)
+            for batch in state.held_tokens.pop_idle(now, age=_IDLE_TTL_SHARE):
+                message = TokenReturn(self._own, batch.number, name, batch.seat, batch.count)
+                batch.count = 0
+                if batch.owner == self._own:
+                    self._seat_buckets.handle_return(message)
                 else:
-                    self._send(lot.source, told)
-        return any(state.holdings.has_any for state in self._states.values())
+                    self._send(batch.owner, message)
+        return any(state.held_tokens.has_any for state in self._states.values())
--- a/packages/quotas/src/acaciayard_quotas/_messages.py
+++ b/packages/quotas/src/acaciayard_quotas/_messages.py
@@ -1,4 +1,4 @@
-"""What daemons tell each other of the calls that a workspace may still make."""
+"""Datagrams by which daemons request, grant and return tokens."""
 
 from __future__ import annotations
 
@@ -8,67 +8,67 @@
 from attrs import field, frozen
 from attrs.validators import and_, ge, lt
 
-__all__ = ["QUOTA_MESSAGES", "TokenAnswer", "TokenAsk", "TokenReturn"]
+__all__ = ["QUOTA_MESSAGES", "TokenRequest", "TokenResponse", "TokenReturn"]
 
 _SECONDS: Final = and_(ge(0.0), lt(math.inf))
 
 
 @frozen
-class TokenAsk:
-    """May callers here make so many calls more for this workspace?"""
+class TokenRequest:
+    """Asks the owner of a seat for tokens, each of which allows one call of the workspace."""
 
-    #: Host that asks.
+    #: Host that sends the request.
     host: str
-    #: Chosen by the asker, never twice by one start of it; the answer carries it back.
+    #: Number that the sender never uses twice within one process lifetime; the response repeats it.
     number: int
-    #: The workspace.
+    #: Name of the workspace.
     workspace: str
-    #: Which of the workspace's seats is asked.
+    #: Index of the seat that is asked.
     seat: int = field(validator=ge(0))
-    #: Calls that it wants to be allowed.
+    #: Tokens wanted.
     wanted: int = field(validator=ge(1))
-    #: Calls that it has refused by itself since it asked last.
+    #: Calls that the sender has refused on its own since its last request.
     refused: int = field(default=0, validator=ge(0))
 
 
 @frozen
-class TokenAnswer:
-    """So many calls are allowed."""
+class TokenResponse:
+    """The response to a `TokenRequest`."""
 
-    #: Host that answers.
+    #: Host that sends the response.
     host: str
-    #: Number of the question.
+    #: Number of the request.
     number: int
-    #: Calls that are allowed, 0 for none.
+    #: Tokens granted, which may be 0.
     granted: int = field(validator=ge(0))
-    #: Seconds, from when the question was sent, within which they must be made.
-    term: float = field(default=0.0, validator=_SECONDS)
-    #: Seconds for which there is no use in asking this seat again.
-    dry_for: float = field(default=0.0, validator=_SECONDS)
-    #: Seconds after which there is room for a caller that is refused now.
-    room_in: float = field(default=0.0, validator=_SECONDS)
-    #: Whether the daemon that was asked holds the seat by its own view, and may grant.
+    #: Seconds after which the tokens expire, counted from when the request was sent.
+    ttl: float = field(default=0.0, validator=_SECONDS)
+    #: Seconds for which the sender of the request should not ask this seat again.
+    backoff: float = field(default=0.0, validator=_SECONDS)
+    #: Seconds after which a caller that is refused now should retry.
+    retry_after: float = field(default=0.0, validator=_SECONDS)
+    #: Whether the daemon that was asked considers itself the owner of the seat, and may grant.
     is_owner: bool = True
 
 
 @frozen
 class TokenReturn:
-    """Calls that were allowed have not been made, and will not be."""
+    """Returns granted tokens that were not spent and never will be."""
 
-    #: Host that was allowed them.
+    #: Host that the tokens were granted to.
     host: str
-    #: Number of the question by which it was.
+    #: Number of the request that they were granted for.
     number: int
-    #: The workspace.
+    #: Name of the workspace.
     workspace: str
-    #: The seat that allowed them.
+    #: Index of the seat that granted the tokens.
     seat: int = field(validator=ge(0))
-    #: How many.
+    #: Tokens returned.
     count: int = field(validator=ge(1))
 
 
 QUOTA_MESSAGES: Final[dict[int, type]] = {
-    80: TokenAsk,
-    81: TokenAnswer,
+    80: TokenRequest,
+    81: TokenResponse,
     82: TokenReturn,
 }
--- a/packages/quotas/tests/test_mesh_caps.py
+++ b/packages/quotas/tests/test_mesh_caps.py
@@ -1,4 +1,4 @@
-"""One daemon's view of caps: what it asks, spends, gives back and refuses."""
+"""Requesting, spending, returning and refusing on one daemon."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import anyio
 
 from acaciayard_callmodel import UNCOUNTED, CountedCall, NotRun
-from acaciayard_quotas import CapRules, MeshCaps, Seats, TokenAnswer, TokenAsk, TokenReturn
+from acaciayard_quotas import CapRules, MeshCaps, Seats, TokenRequest, TokenResponse, TokenReturn
 from acaciayard_resources import Configuration, ResourceKey, Stored, Workspace
 from acaciayard_timers import ManualTimers
 
@@ -22,8 +22,8 @@
     return Configuration(1, stored)
 
 
-class Scene:
-    """A daemon among others whose answers the test writes."""
+class Harness:
+    """A daemon among others whose responses the test supplies."""
 
     def __init__(self, *, hosts: int) -> None:
         self.timers = ManualTimers(start=100.0)
@@ -31,7 +31,7 @@
         for number in range(hosts):
             self.seats.note_present(f"h{number}")
         self.sent: list[tuple[str, object]] = []
-        self.answers: Callable[[TokenAsk], TokenAnswer | None] = lambda _: None
+        self.respond: Callable[[TokenRequest], TokenResponse | None] = lambda _: None
         self.caps = MeshCaps(
             "own",
             seats=self.seats,
@@ -41,26 +41,26 @@
             send=self._send,
         )
         self.caps.use(configuration(NORTH, FREE))
-        self.hear()
+        self.receive_message()
         self.seats.settle()
 
-    def hear(self) -> None:
-        """Hear of another daemon, where there is one."""
+    def receive_message(self) -> None:
+        """Receive a message from another daemon, if there is one."""
         if self.seats.count > 1:
-            self.seats.note_heard()
+            self.seats.note_message()
 
     def _send(self, host: str, message: object) -> None:
         self.sent.append((host, message))
-        if isinstance(message, TokenAsk):
-            answer = self.answers(message)
-            if answer is not None:
-                self.caps.take_answer(answer)
+        if isinstance(message, TokenRequest):
+            response = self.respond(message)
+            if response is not None:
+                self.caps.handle_response(response)
 
-    def asks(self) -> list[TokenAsk]:
-        return [message for _, message in self.sent if isinstance(message, TokenAsk)]
+    def requests(self) -> list[TokenRequest]:
+        return [message for _, message in self.sent if isinstance(message, TokenRequest)]
 
     async def take(self, workspace: str = "north") -> CountedCall | NotRun:
-        """Count a call while the clock goes on."""
+        """Count a call while the clock advances."""
         found: list[CountedCall | NotRun] = []
 
         async def run() -> None:
@@ -76,186 +76,188 @@
 
 
 class MeshCapsTest(unittest.TestCase):
-    def play(
-        self, body: Callable[[Scene], Awaitable[None]], *, hosts: int = 200, wait: float = 0.0
+    def run_case(
+        self, body: Callable[[Harness], Awaitable[None]], *, hosts: int = 200, wait: float = 0.0
     ) -> None:
         async def run() -> None:
-            scene = Scene(hosts=hosts)
-            await scene.timers.advance(wait)
-            scene.hear()
-            await body(scene)
+            harness = Harness(hosts=hosts)
+            await harness.timers.advance(wait)
+            harness.receive_message()
+            await body(harness)
 
         anyio.run(run)
 
     def test_workspace_without_a_cap_is_not_counted(self) -> None:
-        async def body(scene: Scene) -> None:
-            self.assertIs(await scene.take("free"), UNCOUNTED)
-            self.assertIs(await scene.take("unknown"), UNCOUNTED)
-            self.assertEqual(scene.sent, [])
-            self.assertTrue(scene.caps.has_any)
-            scene.caps.use(configuration(FREE))
-            self.assertFalse(scene.caps.has_any)
-
-        self.play(body)
-
-    def test_tokens_are_asked_for_and_spent_within_their_term(self) -> None:
-        async def body(scene: Scene) -> None:
-            scene.answers = lambda ask: TokenAnswer("h", ask.number, 3, term=0.5)
+        async def body(harness: Harness) -> None:
+            self.assertIs(await harness.take("free"), UNCOUNTED)
+            self.assertIs(await harness.take("unknown"), UNCOUNTED)
+            self.assertEqual(harness.sent, [])
+            self.assertTrue(harness.caps.has_any)
+            harness.caps.use(configuration(FREE))
+            self.assertFalse(harness.caps.has_any)
+
+        self.run_case(body)
+
+    def test_tokens_are_requested_and_spent_within_their_ttl(self) -> None:
+        async def body(harness: Harness) -> None:
+            harness.respond = lambda request: TokenResponse("h", request.number, 3, ttl=0.5)
             for _ in range(3):
-                self.assertNotIsInstance(await scene.take(), NotRun)
-            self.assertEqual(len(scene.asks()), 1)
-            scene.answers = lambda ask: TokenAnswer("h", ask.number, 3, term=0.5)
-            await scene.take()
-            self.assertEqual(len(scene.asks()), 2)
-            await scene.timers.advance(0.6)
-            self.assertEqual(scene.caps.held("north"), 0)
-            await scene.take()
-            self.assertEqual(len(scene.asks()), 3)
-
-        self.play(body)
-
-    def test_seat_without_tokens_is_followed_by_another_and_then_the_call_is_refused(self) -> None:
-        async def body(scene: Scene) -> None:
-            def dry(ask: TokenAsk) -> TokenAnswer:
-                return TokenAnswer("h", ask.number, 0, dry_for=0.5, room_in=1.0)
-
-            scene.answers = dry
-            refusal = await scene.take()
+                self.assertNotIsInstance(await harness.take(), NotRun)
+            self.assertEqual(len(harness.requests()), 1)
+            harness.respond = lambda request: TokenResponse("h", request.number, 3, ttl=0.5)
+            await harness.take()
+            self.assertEqual(len(harness.requests()), 2)
+            await harness.timers.advance(0.6)
+            self.assertEqual(harness.caps.held("north"), 0)
+            await harness.take()
+            self.assertEqual(len(harness.requests()), 3)
+
+        self.run_case(body)
+
+    def test_call_is_refused_after_all_seats_without_tokens_were_asked(self) -> None:
+        async def body(harness: Harness) -> None:
+            def out_of_tokens(request: TokenRequest) -> TokenResponse:
+                return TokenResponse("h", request.number, 0, backoff=0.5, retry_after=1.0)
+
+            harness.respond = out_of_tokens
+            refusal = await harness.take()
             assert isinstance(refusal, NotRun)
             self.assertIn("over its cap of 10 calls", refusal.reason)
             self.assertTrue(0.8 <= refusal.retry_after <= 1.3, refusal.retry_after)
-            asked = [ask.seat for ask in scene.asks()]
-            self.assertEqual(sorted(asked), list(range(5)))
-            # While they are known to have none, callers are refused at once, without a word.
-            self.assertIsInstance(await scene.caps.take("north"), NotRun)
-            self.assertEqual(len(scene.asks()), 5)
-            await scene.timers.advance(0.6)
-            await scene.take()
-            self.assertEqual(sum(ask.refused for ask in scene.asks()), 2)
-            self.assertEqual(scene.caps.refused["north"], 3)
-
-        self.play(body)
-
-    def test_silent_seat_is_asked_twice_and_passed_over_for_a_while(self) -> None:
-        async def body(scene: Scene) -> None:
-            refusal = await scene.take()
+            asked_seats = [request.seat for request in harness.requests()]
+            self.assertEqual(sorted(asked_seats), list(range(5)))
+            # During the backoff callers are refused at once, without a request.
+            self.assertIsInstance(await harness.caps.take("north"), NotRun)
+            self.assertEqual(len(harness.requests()), 5)
+            await harness.timers.advance(0.6)
+            await harness.take()
+            self.assertEqual(sum(request.refused for request in harness.requests()), 2)
+            self.assertEqual(harness.caps.refused["north"], 3)
+
+        self.run_case(body)
+
+    def test_unresponsive_seat_is_asked_twice_and_then_skipped(self) -> None:
+        async def body(harness: Harness) -> None:
+            refusal = await harness.take()
             assert isinstance(refusal, NotRun)
             self.assertIn("out of reach", refusal.reason)
-            self.assertEqual(len(scene.asks()), 10)
-            self.assertEqual(scene.caps.unreached, 1)
-            self.assertIsInstance(await scene.caps.take("north"), NotRun)
-            self.assertEqual(len(scene.asks()), 10)
+            self.assertEqual(len(harness.requests()), 10)
+            self.assertEqual(harness.caps.unreached, 1)
+            self.assertIsInstance(await harness.caps.take("north"), NotRun)
+            self.assertEqual(len(harness.requests()), 10)
 
-        self.play(body)
+        self.run_case(body)
 
-    def test_late_and_second_answers_give_nothing(self) -> None:
-        async def body(scene: Scene) -> None:
-            answers: list[TokenAnswer] = []
+    def test_late_and_duplicate_responses_are_ignored(self) -> None:
+        async def body(harness: Harness) -> None:
+            responses: list[TokenResponse] = []
 
-            def remember(ask: TokenAsk) -> TokenAnswer:
-                answers.append(TokenAnswer("h", ask.number, 1, term=0.5))
-                return answers[-1]
+            def record(request: TokenRequest) -> TokenResponse:
+                responses.append(TokenResponse("h", request.number, 1, ttl=0.5))
+                return responses[-1]
 
-            scene.answers = remember
-            await scene.take()
-            scene.caps.take_answer(answers[0])
-            self.assertEqual(scene.caps.held("north"), 0)
+            harness.respond = record
+            await harness.take()
+            harness.caps.handle_response(responses[0])
+            self.assertEqual(harness.caps.held("north"), 0)
 
-        self.play(body)
+        self.run_case(body)
 
-    def test_call_that_was_not_run_gives_its_token_back_until_the_term_ends(self) -> None:
-        async def body(scene: Scene) -> None:
-            scene.answers = lambda ask: TokenAnswer("h", ask.number, 1, term=0.5)
-            counted = await scene.take()
+    def test_call_that_was_not_run_returns_its_token_before_expiry(self) -> None:
+        async def body(harness: Harness) -> None:
+            harness.respond = lambda request: TokenResponse("h", request.number, 1, ttl=0.5)
+            counted = await harness.take()
             assert not isinstance(counted, NotRun)
-            scene.caps.give_back(counted)
-            self.assertEqual(scene.caps.held("north"), 1)
-            again = await scene.take()
+            harness.caps.give_back(counted)
+            self.assertEqual(harness.caps.held("north"), 1)
+            again = await harness.take()
             assert not isinstance(again, NotRun)
-            self.assertEqual(len(scene.asks()), 1)
-            await scene.timers.advance(0.6)
-            scene.caps.give_back(again)
-            self.assertEqual(scene.caps.held("north"), 0)
-            scene.caps.give_back(UNCOUNTED)
-
-        self.play(body)
-
-    def test_tokens_that_lie_idle_go_back_to_their_seat(self) -> None:
-        async def body(scene: Scene) -> None:
-            scene.answers = lambda ask: TokenAnswer("h9", ask.number, 3, term=0.5)
-            await scene.take()
-            await scene.timers.advance(0.1)
-            self.assertTrue(scene.caps.return_idle())
-            await scene.timers.advance(0.25)
-            self.assertFalse(scene.caps.return_idle())
-            (ask,) = scene.asks()
-            told = TokenReturn("own", ask.number, "north", ask.seat, 2)
-            self.assertEqual(scene.sent[-1], ("h9", told))
-            self.assertEqual(scene.caps.held("north"), 0)
-
-        self.play(body)
-
-    def test_questions_follow_what_is_used(self) -> None:
-        async def body(scene: Scene) -> None:
-            scene.answers = lambda ask: TokenAnswer("h", ask.number, 1, term=0.5)
+            self.assertEqual(len(harness.requests()), 1)
+            await harness.timers.advance(0.6)
+            harness.caps.give_back(again)
+            self.assertEqual(harness.caps.held("north"), 0)
+            harness.caps.give_back(UNCOUNTED)
+
+        self.run_case(body)
+
+    def test_idle_tokens_are_returned_to_their_seat(self) -> None:
+        async def body(harness: Harness) -> None:
+            harness.respond = lambda request: TokenResponse("h9", request.number, 3, ttl=0.5)
+            await harness.take()
+            await harness.timers.advance(0.1)
+            self.assertTrue(harness.caps.return_idle())
+            await harness.timers.advance(0.25)
+            self.assertFalse(harness.caps.return_idle())
+            (request,) = harness.requests()
+            returned = TokenReturn("own", request.number, "north", request.seat, 2)
+            self.assertEqual(harness.sent[-1], ("h9", returned))
+            self.assertEqual(harness.caps.held("north"), 0)
+
+        self.run_case(body)
+
+    def test_requested_tokens_follow_recent_use(self) -> None:
+        async def body(harness: Harness) -> None:
+            harness.respond = lambda request: TokenResponse("h", request.number, 1, ttl=0.5)
             for _ in range(12):
-                await scene.take()
-            wanted = [ask.wanted for ask in scene.asks()]
+                await harness.take()
+            wanted = [request.wanted for request in harness.requests()]
             self.assertEqual(wanted[0], 1)
             self.assertGreater(wanted[-1], 5)
 
-        self.play(body)
+        self.run_case(body)
 
-    def test_daemon_that_was_asked_holds_the_seat_by_another_view(self) -> None:
-        async def body(scene: Scene) -> None:
-            scene.answers = lambda ask: TokenAnswer("h", ask.number, 0, is_owner=False)
-            refusal = await scene.take()
+    def test_daemon_that_does_not_own_the_seat_grants_nothing(self) -> None:
+        async def body(harness: Harness) -> None:
+            harness.respond = lambda request: TokenResponse("h", request.number, 0, is_owner=False)
+            refusal = await harness.take()
             assert isinstance(refusal, NotRun)
             self.assertIn("out of reach", refusal.reason)
-            self.assertEqual(len(scene.asks()), 5)
-            # It grants nothing itself for a seat that it does not hold.
-            scene.caps.take_ask(TokenAsk("h1", 1, "unknown", 0, 1))
-            self.assertEqual(scene.sent[-1], ("h1", TokenAnswer("own", 1, 0, is_owner=False)))
+            self.assertEqual(len(harness.requests()), 5)
+            # It grants nothing for a seat that it does not own.
+            harness.caps.handle_request(TokenRequest("h1", 1, "unknown", 0, 1))
+            self.assertEqual(harness.sent[-1], ("h1", TokenResponse("own", 1, 0, is_owner=False)))
 
-        self.play(body)
+        self.run_case(body)
 
-    def test_sole_daemon_allows_the_whole_cap_without_a_word(self) -> None:
-        async def body(scene: Scene) -> None:
+    def test_single_daemon_allows_the_whole_cap_without_messages(self) -> None:
+        async def body(harness: Harness) -> None:
             allowed = 0
-            while not isinstance(await scene.caps.take("north"), NotRun):
+            while not isinstance(await harness.caps.take("north"), NotRun):
                 allowed += 1
-            self.assertEqual(scene.sent, [])
+            self.assertEqual(harness.sent, [])
             bound = CapRules().bound(NORTH)
             self.assertGreaterEqual(allowed, NORTH.burst)
             self.assertLessEqual(allowed + 5 * NORTH.calls_per_second, bound)
 
-        self.play(body, hosts=0, wait=60.0)
+        self.run_case(body, hosts=0, wait=60.0)
 
-    def test_daemon_that_is_cut_off_allows_its_own_share_after_a_while(self) -> None:
-        async def body(scene: Scene) -> None:
-            await scene.timers.advance(5.0)
-            self.assertIsInstance(await scene.caps.take("north"), NotRun)
+    def test_isolated_daemon_falls_back_to_its_own_share(self) -> None:
+        async def body(harness: Harness) -> None:
+            await harness.timers.advance(5.0)
+            self.assertIsInstance(await harness.caps.take("north"), NotRun)
             allowed = 0
             for _ in range(200):
-                await scene.timers.advance(0.1)
-                allowed += not isinstance(await scene.caps.take("north"), NotRun)
-            self.assertEqual(scene.sent, [])
+                await harness.timers.advance(0.1)
+                allowed += not isinstance(await harness.caps.take("north"), NotRun)
+            self.assertEqual(harness.sent, [])
             # 10 calls a second over 10 daemons, from the sixth second of 25 on.
             self.assertTrue(17 <= allowed <= 20, allowed)
 
-        self.play(body, hosts=9)
+        self.run_case(body, hosts=9)
 
     def test_refusals_are_counted_for_a_bounded_number_of_workspaces(self) -> None:
-        async def body(scene: Scene) -> None:
+        async def body(harness: Harness) -> None:
             many = [Workspace(name=f"w{n}", calls_per_second=1) for n in range(300)]
-            scene.caps.use(configuration(*many))
-            scene.answers = lambda ask: TokenAnswer("h", ask.number, 0, dry_for=1.0, room_in=1.0)
+            harness.caps.use(configuration(*many))
+            harness.respond = lambda request: TokenResponse(
+                "h", request.number, 0, backoff=1.0, retry_after=1.0
+            )
             for workspace in many:
-                await scene.caps.take(workspace.name)
-            self.assertEqual(len(scene.caps.refused), 201)
-            self.assertEqual(scene.caps.refused["(others)"], 100)
+                await harness.caps.take(workspace.name)
+            self.assertEqual(len(harness.caps.refused), 201)
+            self.assertEqual(harness.caps.refused["(others)"], 100)
 
-        self.play(body)
+        self.run_case(body)
 
 
 if __name__ == "__main__":
