--- a/packages/callmodel/src/acaciayard_callmodel/_call.py
+++ b/packages/callmodel/src/acaciayard_callmodel/_call.py
@@ -44,7 +44,7 @@
     target: bytes
     #: Rendered header fields, without hop-by-hop and framing fields.
     fields: bytes
-    #: The part of the body that was read.
+    #: The complete body if `is_whole`.
     body: bytes
     #: Whether `body` is the complete body.
     is_whole: bool
--- a/packages/calls/src/acaciayard_calls/_answers.py
+++ b/packages/calls/src/acaciayard_calls/_answers.py
@@ -63,7 +63,7 @@
         """Whether a response was started whose body is not complete yet."""
         return self._is_mid_answer
 
-    async def refuse(self, head: RequestHead, refusal: NotRun, status: int) -> None:
+    async def send_refusal(self, head: RequestHead, refusal: NotRun, status: int) -> None:
         """Send the response to a call that certainly did not run."""
         await self._stream.send(
             not_run_bytes(
@@ -75,7 +75,7 @@
             )
         )
 
-    async def unknown(self, head: RequestHead, unknown: OutcomeUnknown, status: int) -> None:
+    async def send_unknown(self, head: RequestHead, unknown: OutcomeUnknown, status: int) -> None:
         """Send the response to a call of which it is unknown whether it ran."""
         await self._stream.send(
             unknown_bytes(
@@ -86,7 +86,7 @@
             )
         )
 
-    async def whole(self, head: RequestHead, answer: Answer, extra: bytes = b"") -> None:
+    async def send_whole(self, head: RequestHead, answer: Answer, extra: bytes = b"") -> None:
         """Send a response whose body is complete; `extra` holds additional rendered fields."""
         bodiless = head.method == b"HEAD" or answer.status in _BODILESS_STATUSES
         data = response_bytes(
@@ -102,10 +102,10 @@
     async def relay(self, head: RequestHead, plan: Plan, answer: Answer, attempt: Attempt) -> None:
         """Relay a target's response; a truncated body aborts the caller's connection."""
         if answer.is_whole and answer.ends_by_close:
-            await self._until_close(answer)
+            await self._relay_until_close(answer)
             return
         if answer.is_whole:
-            await self.whole(head, answer)
+            await self.send_whole(head, answer)
             return
         framing = Framing.CHUNKED
         if answer.length != UNKNOWN_LENGTH:
@@ -132,7 +132,7 @@
         if framing is Framing.UNTIL_CLOSE:
             self._stream.close()
 
-    async def _until_close(self, answer: Answer) -> None:
+    async def _relay_until_close(self, answer: Answer) -> None:
         """Relay a response that is delimited by the end of the connection, with the same framing.
 
         Sending it with a length would claim that the body is complete, which cannot be known.
--- a/packages/calls/src/acaciayard_calls/_call_run.py
+++ b/packages/calls/src/acaciayard_calls/_call_run.py
@@ -59,7 +59,7 @@
         """Abort it, as its result is no longer needed."""
         self.is_over = True
         if self.attempt is not None and not self.done.is_set():
-            self.attempt.abort("the first try was answered", is_given_up=True)
+            self.attempt.abort("the first attempt was answered", is_given_up=True)
 
 
 class CallRun:
@@ -107,7 +107,7 @@
         return self._tried
 
     async def run(self) -> Answered | NotRun | OutcomeUnknown:
-        """Run the call until it has a final outcome."""
+        """Run the call until it has a final outcome, and return that."""
         outcome = await self._run()
         if isinstance(outcome, NotRun) and outcome.is_overload:
             return self._with_spread_retry(outcome)
--- a/packages/calls/src/acaciayard_calls/_caller.py
+++ b/packages/calls/src/acaciayard_calls/_caller.py
@@ -23,7 +23,7 @@
 _LINGER_S: Final = 1.0
 _LINGER_BYTES: Final = 4 * 1024 * 1024
 #: Reason of a request that did not run, or whose response was not sent, as the connection closed.
-_CLOSED_BEFORE_TURN: Final = "an answer before it closed the connection"
+_CLOSED_BEFORE_TURN: Final = "the response to an earlier request closed the connection"
 
 
 class CallerConnection:
@@ -175,7 +175,10 @@
                 self._extra_readers_ended.set()
 
     async def _wait_turn(self, request: CallerRequest) -> None:
-        """Wait until all earlier requests are answered; raises `StreamLostError` if closing."""
+        """Wait until all earlier requests are answered.
+
+        Raises `StreamLostError` if the connection closes, so that the request gets no response.
+        """
         wait_started = self._timers.now()
         try:
             await request.wait()
@@ -186,7 +189,7 @@
         if self._is_closing:
             raise StreamLostError(_CLOSED_BEFORE_TURN)
 
-    # --- faults -------------------------------------------------------------------------------
+    # --- errors -------------------------------------------------------------------------------
 
     async def _send_error(
         self, group: ExceptionGroup[HttpError], request: CallerRequest | None
@@ -232,7 +235,7 @@
             request.ended.retry_after = rejected.refusal.retry_after
             if self._pipeline.first is not request:
                 await self._wait_turn(request)
-            await self._answers.refuse(request.head, rejected.refusal, rejected.status)
+            await self._answers.send_refusal(request.head, rejected.refusal, rejected.status)
             is_answered = True
         except HttpError as fault:
             request.note("rejected", fault.status, fault.reason)
--- a/packages/calls/src/acaciayard_calls/_claims.py
+++ b/packages/calls/src/acaciayard_calls/_claims.py
@@ -139,7 +139,7 @@
                 return ClaimAnswer(granted=False, holder=b"", host="", reason=pending.failure)
             holder = self._table.holder(request.key)
         if holder is None:
-            return ClaimAnswer(False, b"", "", "the claim was released before it was made")
+            return ClaimAnswer(False, b"", "", "the claim was released before it was appended")
         return ClaimAnswer(holder.claim == request.claim, holder.claim, holder.host, "")
 
     async def release(self, request: ReleaseRequest) -> None:
--- a/packages/calls/src/acaciayard_calls/_request_runs.py
+++ b/packages/calls/src/acaciayard_calls/_request_runs.py
@@ -99,7 +99,7 @@
         if name:
             ended.request_id = first_header(head.headers, name).decode("latin-1")
         router, plan = plan_for(head, self._context)
-        if self._pipeline.first is not request and not _may_run_ahead(head, plan):
+        if self._pipeline.first is not request and not _may_run_concurrently(head, plan):
             await self._parts.wait_turn(request)
             router, plan = plan_for(head, self._context)  # the configuration may have changed
         ended.route = plan.route.name
@@ -165,11 +165,15 @@
             raise RejectedError(400, NotRun("this route needs an Idempotency-Key header", 60.0))
         claimer = self._context.claimer
         is_keyed = bool(key) and not route.idempotent and claimer is not None
-        is_held = not request.body_unread or is_buffered(head, self._context)
-        if is_keyed and not is_held:
+        is_body_buffered = not request.body_unread or is_buffered(head, self._context)
+        if is_keyed and not is_body_buffered:
             reason = f"a call with a key needs a Content-Length up to {LARGEST_WHOLE_BODY}"
             raise RejectedError(413, NotRun(reason, 60.0))
-        body = await self._read_whole(request, plan) if is_held and request.body_unread else b""
+        body = (
+            await self._read_body(request, plan)
+            if is_body_buffered and request.body_unread
+            else b""
+        )
         targets = self._context.targets
         parent = None
         if identity.may_be_nested:
@@ -190,21 +194,21 @@
             return await self._run_streaming(request, call, plan, router)
         if is_keyed and claimer is not None:
             return await self._run_keyed(request, call, plan, router, key, claimer)
-        return await self._run_whole(request, call, plan, router)
+        return await self._run_buffered(request, call, plan, router)
 
     def _start_by(self, request: CallerRequest, plan: Plan) -> float:
         """Latest useful start of a caller's call, measured from its estimated first request."""
         started = request.started
         caller_timeout = requested_timeout(request.head, self._context)
-        first_asked = min(
+        first_sent = min(
             started,
             self._context.first_request_estimator.of(plan.route.name, timeout=caller_timeout),
         )
-        if first_asked < started:
-            request.ended.age_ms = round((started - first_asked) * 1000, 1)
-        return start_by(plan, first_asked)
+        if first_sent < started:
+            request.ended.age_ms = round((started - first_sent) * 1000, 1)
+        return start_by(plan, first_sent)
 
-    async def _read_whole(self, request: CallerRequest, plan: Plan) -> bytes:
+    async def _read_body(self, request: CallerRequest, plan: Plan) -> bytes:
         if request.head.expects_continue:
             await self._stream.send(CONTINUE)
         parts = []
@@ -215,8 +219,8 @@
                     parts.append(data)
                     size += len(data)
                     if size > self._context.max_buffered_body:
-                        most = self._context.max_buffered_body
-                        raise HttpError(413, f"a body without a length may have {most} bytes")
+                        limit = self._context.max_buffered_body
+                        raise HttpError(413, f"a body without a length is limited to {limit} bytes")
                 case End():
                     return b"".join(parts)
 
@@ -231,7 +235,7 @@
 
     # --- buffered bodies ----------------------------------------------------------------------
 
-    async def _run_whole(
+    async def _run_buffered(
         self, request: CallerRequest, call: Call, plan: Plan, router: Router
     ) -> bool:
         head = request.head
@@ -240,7 +244,7 @@
         watch = request.watch = CallWatch()
         request.ended.tries = watch.tries
         self._stream.watch_lost(self._pipeline.give_up, on_unread=self._parts.read_ahead)
-        if _may_run_ahead(head, plan):
+        if _may_run_concurrently(head, plan):
             request.runs_concurrently = True
             if self._stream.has_unread or self._reader.has_pending:
                 self._parts.read_ahead()
@@ -283,12 +287,12 @@
                 request.ended.is_barred = outcome.is_barred
                 if self._pipeline.first is not request:
                     await self._parts.wait_turn(request)
-                await self._answers.refuse(head, outcome, 503)
+                await self._answers.send_refusal(head, outcome, 503)
             case OutcomeUnknown():
                 request.note("unknown", 504, outcome.reason)
                 if self._pipeline.first is not request:
                     await self._parts.wait_turn(request)
-                await self._answers.unknown(head, outcome, 504)
+                await self._answers.send_unknown(head, outcome, 504)
         return False
 
     # --- idempotency keys ---------------------------------------------------------------------
@@ -311,7 +315,7 @@
         scope = f"{plan.route.name}\0{self._caller_of(head)!r}"
         match await claimer.claim(scope, key):
             case NotRun() as refusal:
-                await self._answers.refuse(head, refusal, 503)
+                await self._answers.send_refusal(head, refusal, 503)
                 return False
             case AlreadyClaimed() as already_claimed:
                 return await self._repeat(head, call, already_claimed, claimer)
@@ -334,13 +338,13 @@
         remaining = max(0.0, call.deadline - self._timers.now())
         match await claimer.earlier_answer(already_claimed, within=remaining):
             case Answer() as answer:
-                await self._answers.whole(head, answer, extra=REPLAYED)
+                await self._answers.send_whole(head, answer, extra=REPLAYED)
                 return answer.status < 500
             case NotRun() as refusal:
-                await self._answers.refuse(head, refusal, 503)
+                await self._answers.send_refusal(head, refusal, 503)
             case None:
-                reason = "a call with this key was made before, and its answer is not known"
-                await self._answers.unknown(head, OutcomeUnknown(reason), 409)
+                reason = "a call with this key was made before and its response is not available"
+                await self._answers.send_unknown(head, OutcomeUnknown(reason), 409)
         return False
 
     # --- streamed bodies ----------------------------------------------------------------------
@@ -390,7 +394,7 @@
                 return
 
 
-def _may_run_ahead(head: RequestHead, plan: Plan) -> bool:
+def _may_run_concurrently(head: RequestHead, plan: Plan) -> bool:
     """Whether a request may run concurrently with earlier ones of its connection.
 
     It must be idempotent: if an earlier response closes the connection, the caller resends the
--- a/packages/calls/src/acaciayard_calls/_slot_deadlines.py
+++ b/packages/calls/src/acaciayard_calls/_slot_deadlines.py
@@ -18,14 +18,14 @@
 _WAIT_SHARES: Final = (0.3, 0.3, 0.25)
 
 
-def start_by(plan: Plan, first_asked: float) -> float:
+def start_by(plan: Plan, first_sent: float) -> float:
     """Latest useful start of a call; in the past for a retry that cannot meet its latency goal.
 
     A gate admits such a call only if a slot is free and no other call waits for it.
     """
     if plan.latency_goal <= 0:
         return math.inf
-    return first_asked + plan.latency_goal * _WAIT_SHARES[plan.priority]
+    return first_sent + plan.latency_goal * _WAIT_SHARES[plan.priority]
 
 
 def nested(call: Call, parent: Call, *, is_full: bool) -> Call:
