--- a/packages/admission/src/acaciayard_admission/_suspects.py
+++ b/packages/admission/src/acaciayard_admission/_suspects.py
@@ -111,7 +111,7 @@
         """
         self._members = members
         members.table.subscribe(self._hear)
-        members.table.on_own_past(lambda past: self.recall(past.suspicions))
+        members.table.on_previous_incarnation(lambda past: self.recall(past.suspicions))
 
     def _hear(self, before: Member | None, now: Member) -> None:
         assert self._members is not None
--- a/packages/daemon/src/acaciayard_daemon/_build.py
+++ b/packages/daemon/src/acaciayard_daemon/_build.py
@@ -24,7 +24,7 @@
     Membership,
     MemberState,
     TargetInfo,
-    member_news,
+    member_log_fields,
     membership,
 )
 from acaciayard_quotas import QUOTA_MESSAGES, CapRules, ConnectedCaps
@@ -133,7 +133,7 @@
         self._logger.info("suspect", **news.fields())
 
     def _log_member(self, before: Member | None, now: Member) -> None:
-        news = member_news(before, now)
+        news = member_log_fields(before, now)
         if news is not None:
             self._logger.info("member", **news)
 
@@ -220,9 +220,9 @@
             position=self._position,
             detector=DetectorSettings(
                 period=detector.period_s,
-                direct_within=detector.direct_s,
-                indirect_within=detector.indirect_s,
-                suspicion=detector.suspicion_s,
+                direct_timeout=detector.direct_s,
+                indirect_timeout=detector.indirect_s,
+                suspicion_timeout=detector.suspicion_s,
             ),
         )
         self._members.table.subscribe(self._log_member)
--- a/packages/hosted/src/acaciayard_hosted/_build.py
+++ b/packages/hosted/src/acaciayard_hosted/_build.py
@@ -28,7 +28,7 @@
     MemberState,
     TargetInfo,
     TargetState,
-    member_news,
+    member_log_fields,
     membership,
 )
 from acaciayard_quotas import QUOTA_MESSAGES, ConnectedCaps
@@ -172,7 +172,7 @@
         self._log.info("suspect", **news.fields())
 
     def _log_member(self, before: Member | None, now: Member) -> None:
-        news = member_news(before, now)
+        news = member_log_fields(before, now)
         if news is not None:
             known = self._members.table.present_count if self._members else 0
             self._log.info("member", **news, known=known)
@@ -217,7 +217,7 @@
         await port.open(settings.control.port, self._tasks)
         await calls.open(settings.calls.ip, settings.calls.port, self._tasks)
         members = self._membership(port)
-        members.table.on_own_past(lambda past: self._recall(past, targets))
+        members.table.on_previous_incarnation(lambda past: self._recall(past, targets))
         client = self._platform.open_store(settings, timers=self._timers, traffic=self._traffic)
         store = self._store = EraGuard(client, log=self._log)
         caps = hosted_caps(
--- a/packages/hosted/src/acaciayard_hosted/_directory.py
+++ b/packages/hosted/src/acaciayard_hosted/_directory.py
@@ -156,7 +156,7 @@
         self._is_in_doubt = False
         self._repairs = 0
         self._repair_at = 0.0
-        members.on_stranger(self._on_stranger)
+        members.on_unknown_sender(self._on_stranger)
         if port is not None:
             port.on_datagram(EntryLost, self._take_lost)
 
@@ -228,7 +228,7 @@
                 chosen = self._choose(self._strangers(records))
                 met = 0
                 with self._timers.timeout(_MEET_WITHIN):
-                    met = await self._members.meet(chosen)
+                    met = await self._members.exchange_with(chosen)
                 self._on_met()
                 await self._ask_a_member()
                 self._log.info(
@@ -292,8 +292,8 @@
 
     async def _ask_a_member(self) -> None:
         """Take over the version of a daemon that was met, which comes compressed."""
-        there = self._members.table.neighbourhood()
-        others = there.near or tuple(self._members.table.others())
+        there = self._members.table.peers_by_domain()
+        others = there.local or tuple(self._members.table.others())
         if others and self._relay is not None:
             asked = self._seed.choice(others).control
             if self._rollouts is not None:
@@ -336,7 +336,7 @@
 
     async def _meet_stranger(self, address: Address) -> None:
         try:
-            if await self._members.meet([address]):
+            if await self._members.exchange_with([address]):
                 self._on_met()
         finally:
             self._meeting.discard(address)
--- a/packages/hosted/src/acaciayard_hosted/_feeding.py
+++ b/packages/hosted/src/acaciayard_hosted/_feeding.py
@@ -100,8 +100,8 @@
     def note_store(self, *, is_served: bool) -> None:
         """The store has answered this daemon, or turned it away."""
         table = self._members.table
-        if table.own.is_fed != is_served:
-            table.set_fed(is_served)
+        if table.own.has_store_access != is_served:
+            table.set_store_access(is_served)
             self._members.flush()
 
     def audience(self) -> list[Member]:
@@ -149,7 +149,7 @@
         heads = {domain: _heads_of(members) for domain, members in domains.items()}
         self._line_of_own = {member.host for member in heads[table.own.domain]}
         self._heads = tuple(each[-1] for each in heads.values() if each)
-        served = [member for member in self._heads if member.is_fed]
+        served = [member for member in self._heads if member.has_store_access]
         line = _in_line(served or self._heads)
         self._lead = line[0].host if line else ""
 
@@ -161,7 +161,7 @@
 def _heads_of(members: Sequence[Member]) -> tuple[Member, ...]:
     """The first in line, and the first that the store serves where that is another one."""
     line = _in_line(members)
-    served = next((member for member in line if member.is_fed), None)
+    served = next((member for member in line if member.has_store_access), None)
     if not line or served is None or served is line[0]:
         return tuple(line[:1])
     return (line[0], served)
--- a/packages/hosted/tests/test_directory.py
+++ b/packages/hosted/tests/test_directory.py
@@ -14,7 +14,7 @@
 
 from acaciayard_hosted._directory import STREAM, HostDirectory
 from acaciayard_logservice import KeyedRecord
-from acaciayard_membership import MEMBER_CODEC, Member, MemberTable, Neighbourhood
+from acaciayard_membership import MEMBER_CODEC, Member, MemberTable, PeersByDomain
 from acaciayard_timers import ManualTimers
 from acaciayard_wire import Address
 
@@ -41,8 +41,8 @@
     def others(self) -> tuple[Own, ...]:
         return ()
 
-    def neighbourhood(self) -> Neighbourhood:
-        return Neighbourhood((), ())
+    def peers_by_domain(self) -> PeersByDomain:
+        return PeersByDomain((), ())
 
     def set_listed(self) -> None:
         """Nobody is told."""
@@ -57,10 +57,10 @@
         self._timers = timers
         self.asked = 0
 
-    def on_stranger(self, _listener: object) -> None:
+    def on_unknown_sender(self, _listener: object) -> None:
         """Nobody comes."""
 
-    async def meet(self, addresses: Iterable[Address]) -> int:
+    async def exchange_with(self, addresses: Iterable[Address]) -> int:
         self.asked += len(list(addresses))
         await self._timers.sleep(60.0)
         return 0
@@ -172,7 +172,7 @@
     def __init__(self, table: MemberTable) -> None:
         self.table = table
 
-    def on_stranger(self, _listener: object) -> None:
+    def on_unknown_sender(self, _listener: object) -> None:
         """Nobody comes."""
 
 
--- a/packages/hosted/tests/test_feeding.py
+++ b/packages/hosted/tests/test_feeding.py
@@ -62,7 +62,7 @@
     def test_next_in_line_where_the_store_turns_the_first_away(self) -> None:
         members = [member(f"h{n}") for n in range(5)]
         (first,) = self.feeders(*members)
-        refused = [m.with_changes(is_fed=m.host != first) for m in members]
+        refused = [m.with_changes(has_store_access=m.host != first) for m in members]
         self.assertEqual(len(self.feeders(*refused)), 2)
         self.assertIn(first, self.feeders(*refused))
 
--- a/packages/membership/src/acaciayard_membership/__init__.py
+++ b/packages/membership/src/acaciayard_membership/__init__.py
@@ -5,10 +5,10 @@
 from ._gossip import GossipQueue, GossipSender
 from ._member import Member, MemberState, Suspicion, TargetInfo, TargetState
 from ._messages import MEMBER_CODEC, MEMBERSHIP_MESSAGES
-from ._news import member_news
+from ._news import member_log_fields
 from ._rendezvous import rendezvous
 from ._service import Membership, membership
-from ._table import BUCKETS, MemberTable, Neighbourhood
+from ._table import BUCKETS, MemberTable, PeersByDomain
 
 __all__ = [
     "BUCKETS",
@@ -25,11 +25,11 @@
     "MemberState",
     "MemberTable",
     "Membership",
-    "Neighbourhood",
+    "PeersByDomain",
     "Suspicion",
     "TargetInfo",
     "TargetState",
-    "member_news",
+    "member_log_fields",
     "membership",
     "rendezvous",
 ]
--- a/packages/membership/src/acaciayard_membership/_detector.py
+++ b/packages/membership/src/acaciayard_membership/_detector.py
@@ -38,11 +38,11 @@
     #: Time between two probes.
     period: float = 1.0
     #: Timeout for the answer to a direct probe.
-    direct_within: float = 0.3
+    direct_timeout: float = 0.3
     #: Timeout for the answer to a probe through other members.
-    indirect_within: float = 0.6
+    indirect_timeout: float = 0.6
     #: Time that a suspect has to refute the suspicion.
-    suspicion: float = 2.5
+    suspicion_timeout: float = 2.5
 
 
 class FailureDetector:
@@ -100,7 +100,7 @@
         """
         self._mismatch_listeners.append(listener)
 
-    def on_stranger(self, listener: Callable[[Address], None]) -> None:
+    def on_unknown_sender(self, listener: Callable[[Address], None]) -> None:
         """Call `listener` with the sender's address of every probe from an unknown daemon."""
         self._unknown_sender_listeners.append(listener)
 
@@ -132,12 +132,14 @@
         self._pending_probes[number] = acked
         try:
             self._send_probe(number, member.control, member)
-            if await self._wait_for_ack(acked, self._settings.direct_within * self._timeout_factor):
+            if await self._wait_for_ack(
+                acked, self._settings.direct_timeout * self._timeout_factor
+            ):
                 self._failure_score = max(0, self._failure_score - 1)
                 return
             self._send_indirect_probes(number, member)
             if await self._wait_for_ack(
-                acked, self._settings.indirect_within * self._timeout_factor
+                acked, self._settings.indirect_timeout * self._timeout_factor
             ):
                 return
         finally:
@@ -145,7 +147,7 @@
         self._failure_score = min(_MAX_FAILURE_SCORE, self._failure_score + 1)
         self._pause.check()
         if self._pause.pauses == pauses:
-            self._table.believe(member, MemberState.SUSPECT)
+            self._table.set_state(member, MemberState.SUSPECT)
 
     @property
     def _timeout_factor(self) -> int:
@@ -216,7 +218,7 @@
     def _on_probe_request(self, request: ProbeRequest, sender: Address) -> None:
         number = next(self._probe_numbers)
         self._relayed_probes[number] = (request.number, sender)
-        expiry = self._timers.now() + self._settings.indirect_within
+        expiry = self._timers.now() + self._settings.indirect_timeout
         self._timers.call_at(expiry, lambda: self._forget_relay(number))
         self._send_probe(number, Address(request.ip, request.port))
 
@@ -240,7 +242,7 @@
 
     def _on_change(self, _before: Member | None, now: Member) -> None:
         if now.state == MemberState.SUSPECT and now.host != self._table.own.host:
-            due = self._timers.now() + self._settings.suspicion * self._timeout_factor
+            due = self._timers.now() + self._settings.suspicion_timeout * self._timeout_factor
             pauses = self._pause.pauses
             self._timers.call_at(due, lambda: self._declare_dead(now, pauses))
 
@@ -249,4 +251,4 @@
         if self._pause.pauses != pauses:
             self._on_change(None, suspect)
             return
-        self._table.believe(suspect, MemberState.DEAD)
+        self._table.set_state(suspect, MemberState.DEAD)
--- a/packages/membership/src/acaciayard_membership/_exchange.py
+++ b/packages/membership/src/acaciayard_membership/_exchange.py
@@ -114,7 +114,7 @@
         """
         async for _ in self._timers.ticks(_REJOIN_PERIOD, jitter=0.3, seed=self._seed):
             horizon = self._timers.now() - _REJOIN_WINDOW
-            absent = self._table.gone_since(horizon)
+            absent = self._table.absent_since(horizon)
             if absent:
                 with self._timers.timeout(_REJOIN_TIMEOUT):
                     await self.exchange(self._seed.choice(absent).control)
@@ -146,10 +146,10 @@
 
         Whole buckets are sent where tables differ, and traffic between domains is the costly one.
         """
-        peers = self._table.neighbourhood()
-        if peers.near and self._seed.random() >= _REMOTE_EXCHANGE_SHARE:
-            return self._seed.choice(peers.near)
-        return peers.choose_far(self._seed)
+        peers = self._table.peers_by_domain()
+        if peers.local and self._seed.random() >= _REMOTE_EXCHANGE_SHARE:
+            return self._seed.choice(peers.local)
+        return peers.choose_remote(self._seed)
 
     def _absent_addresses(self) -> list[Address]:
         """Addresses of dead members and of seeds that are not live members."""
@@ -161,7 +161,7 @@
         """Add addresses at which other daemons may be reached."""
         self._seeds.update(seeds)
 
-    async def meet(self, addresses: Iterable[Address]) -> int:
+    async def exchange_with(self, addresses: Iterable[Address]) -> int:
         """Exchange tables with all of `addresses` concurrently; returns how many answered."""
         answered = 0
 
--- a/packages/membership/src/acaciayard_membership/_gossip.py
+++ b/packages/membership/src/acaciayard_membership/_gossip.py
@@ -168,10 +168,10 @@
         self._send_round(local=_FLUSH_FAN_OUT, remote=_REMOTE_FAN_OUT * 2)
 
     def _send_round(self, *, local: int = _FAN_OUT, remote: int = _REMOTE_FAN_OUT) -> None:
-        peers = self._table.neighbourhood()
-        chosen = self._seed.sample(peers.near, min(local, len(peers.near)))
+        peers = self._table.peers_by_domain()
+        chosen = self._seed.sample(peers.local, min(local, len(peers.local)))
         if self._queue.has_remote:
-            others = (peers.choose_far(self._seed) for _ in range(remote))
+            others = (peers.choose_remote(self._seed) for _ in range(remote))
             chosen.extend(member for member in others if member is not None)
         for member in chosen:
             updates = self._queue.next_updates(member)
--- a/packages/membership/src/acaciayard_membership/_member.py
+++ b/packages/membership/src/acaciayard_membership/_member.py
@@ -154,7 +154,7 @@
     #: Targets on its host.
     targets: tuple[TargetInfo, ...] = field(default=(), validator=max_len(_MAX_TARGETS))
     #: Whether the platform's store answers its requests.
-    is_fed: bool = True
+    has_store_access: bool = True
     #: Bandwidth of its link in Mbit/s, 0 if unknown.
     link_mbps: float = field(default=0.0, validator=_validate_amount)
     #: Whether its address is published in the platform's store.
--- a/packages/membership/src/acaciayard_membership/_news.py
+++ b/packages/membership/src/acaciayard_membership/_news.py
@@ -4,10 +4,10 @@
 
 from ._member import Member, MemberState
 
-__all__ = ["member_news"]
+__all__ = ["member_log_fields"]
 
 
-def member_news(before: Member | None, now: Member) -> dict[str, object] | None:
+def member_log_fields(before: Member | None, now: Member) -> dict[str, object] | None:
     """The fields of a log line, or `None` when neither state nor incarnation has changed.
 
     Records also change whenever a target is added or removed; such changes are not logged.
--- a/packages/membership/src/acaciayard_membership/_service.py
+++ b/packages/membership/src/acaciayard_membership/_service.py
@@ -56,13 +56,13 @@
         """Join the mesh through the seeds; retries for `within` seconds."""
         return await self._exchanger.join(within=within)
 
-    async def meet(self, addresses: Iterable[Address]) -> int:
+    async def exchange_with(self, addresses: Iterable[Address]) -> int:
         """Exchange tables with the daemons at `addresses`; returns how many answered."""
-        return await self._exchanger.meet(addresses)
+        return await self._exchanger.exchange_with(addresses)
 
-    def on_stranger(self, listener: Callable[[Address], None]) -> None:
+    def on_unknown_sender(self, listener: Callable[[Address], None]) -> None:
         """Call `listener` with the sender's address of every probe from an unknown daemon."""
-        self._detector.on_stranger(listener)
+        self._detector.on_unknown_sender(listener)
 
     async def run(self) -> None:
         """Keep the table up to date until cancelled."""
@@ -70,7 +70,7 @@
             for part in (self._detector.run, self._gossip.run, self._exchanger.run):
                 tasks.start_soon(self._account.run, ProcessorPart.EXCHANGE, part)
 
-    def forget_news(self) -> None:
+    def discard_updates(self) -> None:
         """Drop all pending updates, for a mesh in which all members know them already."""
         self._gossip.forget()
 
--- a/packages/membership/src/acaciayard_membership/_table.py
+++ b/packages/membership/src/acaciayard_membership/_table.py
@@ -17,7 +17,7 @@
 from ._member import Member, MemberState, Suspicion, TargetInfo
 from ._messages import MEMBER_CODEC
 
-__all__ = ["BUCKETS", "MemberTable", "Neighbourhood"]
+__all__ = ["BUCKETS", "MemberTable", "PeersByDomain"]
 
 #: Number of buckets into which hosts are hashed for exchanges.
 BUCKETS: Final = 64
@@ -36,20 +36,20 @@
 
 
 @frozen
-class Neighbourhood:
+class PeersByDomain:
     """The other members that count as running, grouped by failure domain."""
 
     #: Members of the own failure domain.
-    near: tuple[Member, ...]
+    local: tuple[Member, ...]
     #: Members of each other failure domain.
-    far: tuple[tuple[Member, ...], ...]
+    remote: tuple[tuple[Member, ...], ...]
 
-    def choose_far(self, seed: random.Random) -> Member | None:
+    def choose_remote(self, seed: random.Random) -> Member | None:
         """A random member of another failure domain, or `None` when there is none.
 
         Each domain is equally likely.
         """
-        return seed.choice(seed.choice(self.far)) if self.far else None
+        return seed.choice(seed.choice(self.remote)) if self.remote else None
 
 
 def _bucket_of(host: str) -> int:
@@ -79,7 +79,7 @@
         self._previous_incarnation_listeners: list[Callable[[Member], None]] = []
         self._own_host = own.host
         self._present: tuple[Member, ...] | None = None
-        self._neighbourhood: Neighbourhood | None = None
+        self._peers_by_domain: PeersByDomain | None = None
         self._domains: Counter[str] = Counter()
         self._store(own, MEMBER_CODEC.encode(own))
 
@@ -125,15 +125,15 @@
         """Number of members of a failure domain that count as running."""
         return self._domains[domain]
 
-    def neighbourhood(self) -> Neighbourhood:
+    def peers_by_domain(self) -> PeersByDomain:
         """The other members that count as running, grouped by failure domain."""
-        if self._neighbourhood is None:
+        if self._peers_by_domain is None:
             domains: dict[str, list[Member]] = {}
             for member in self.others():
                 domains.setdefault(member.domain, []).append(member)
-            near = domains.pop(self.own.domain, [])
-            self._neighbourhood = Neighbourhood(tuple(near), tuple(map(tuple, domains.values())))
-        return self._neighbourhood
+            local = domains.pop(self.own.domain, [])
+            self._peers_by_domain = PeersByDomain(tuple(local), tuple(map(tuple, domains.values())))
+        return self._peers_by_domain
 
     def lost(self) -> tuple[Member, ...]:
         """Members whose state is dead."""
@@ -148,7 +148,7 @@
             if entry.member.state == MemberState.DEAD and entry.stored_at >= when
         )
 
-    def gone_since(self, when: float) -> tuple[Member, ...]:
+    def absent_since(self, when: float) -> tuple[Member, ...]:
         """Members that have failed or left since `when`, daemons that are restarting included.
 
         While the platform's store is unavailable, a restarted daemon knows no other daemon and has
@@ -187,7 +187,7 @@
         """Call `listener` with the previous and the new record of every change from now on."""
         self._listeners.append(listener)
 
-    def on_own_past(self, listener: Callable[[Member], None]) -> None:
+    def on_previous_incarnation(self, listener: Callable[[Member], None]) -> None:
         """Call `listener` with records of this host's earlier incarnations that others still hold.
 
         After a restart, only the other daemons know what this one had published before.
@@ -242,10 +242,12 @@
             own = self.own
             self._update_own(own.with_changes(targets=targets, sequence=own.sequence + 1))
 
-    def set_fed(self, is_fed: bool) -> None:
+    def set_store_access(self, has_store_access: bool) -> None:
         """Publish whether the platform's store answers this daemon."""
         own = self.own
-        self._update_own(own.with_changes(is_fed=is_fed, sequence=own.sequence + 1))
+        self._update_own(
+            own.with_changes(has_store_access=has_store_access, sequence=own.sequence + 1)
+        )
 
     def set_listed(self) -> None:
         """Publish that the platform's store holds the address of this daemon."""
@@ -265,7 +267,7 @@
         own = self.own
         self._update_own(own.with_changes(state=MemberState.LEFT, sequence=own.sequence + 1))
 
-    def believe(self, member: Member, state: MemberState) -> bool:
+    def set_state(self, member: Member, state: MemberState) -> bool:
         """Set the state of a member; returns true if it was changed.
 
         Nothing is changed if `member` is no longer the current record, or if `state` does not
@@ -299,7 +301,7 @@
             self._hosts_by_record.pop(entry.packed, None)
             self._count_live(entry.member, -1)
             self._present = None
-            self._neighbourhood = None
+            self._peers_by_domain = None
 
     def _count_live(self, member: Member, delta: int) -> None:
         if member.is_present:
@@ -317,6 +319,6 @@
         self._hosts_by_record[packed] = member.host
         self._count_live(member, 1)
         self._present = None
-        self._neighbourhood = None
+        self._peers_by_domain = None
         for listener in self._listeners:
             listener(before, member)
--- a/packages/membership/tests/gossip_mesh.py
+++ b/packages/membership/tests/gossip_mesh.py
@@ -72,7 +72,7 @@
         for daemon in self.members.values():
             for record in records:
                 daemon.table.merge(MEMBER_CODEC.encode(record))
-            daemon.forget_news()
+            daemon.discard_updates()
             tasks.start_soon(daemon.run)
 
     @staticmethod
--- a/packages/membership/tests/test_table.py
+++ b/packages/membership/tests/test_table.py
@@ -58,7 +58,7 @@
     def test_records_of_an_earlier_incarnation_are_reported(self) -> None:
         table = MemberTable(member("own", incarnation=5), ManualTimers())
         reported: list[Member] = []
-        table.on_own_past(reported.append)
+        table.on_previous_incarnation(reported.append)
         leaving = TargetInfo(service="a", name="t1", slots=4, state=TargetState.DRAINING)
         past = member("own", incarnation=4, sequence=9).with_changes(targets=(leaving,))
         for record in (past, member("own", incarnation=5), member("other", incarnation=4)):
@@ -66,12 +66,12 @@
         self.assertEqual(reported, [past])
         self.assertEqual(table.own.incarnation, 5)
 
-    def test_gone_since_includes_left_members(self) -> None:
+    def test_absent_since_includes_left_members(self) -> None:
         table = self.table()
         table.merge(*packed(member("left", state=MemberState.LEFT)))
         table.merge(*packed(member("dead", state=MemberState.DEAD)))
         table.merge(*packed(member("alive")))
-        found = {m.host for m in table.gone_since(0.0)}
+        found = {m.host for m in table.absent_since(0.0)}
         self.assertEqual(found, {"left", "dead"})
         self.assertEqual([m.host for m in table.lost_since(0.0)], ["dead"])
 
@@ -88,7 +88,7 @@
         old = table.find("a")
         assert old is not None
         table.merge(*packed(member("a", sequence=1)))
-        self.assertFalse(table.believe(old, MemberState.SUSPECT))
+        self.assertFalse(table.set_state(old, MemberState.SUSPECT))
         self.assertEqual(len(list(table.others())), 1)
 
     def test_targets_are_part_of_the_packed_record(self) -> None:
