--- a/packages/admission/src/acaciayard_admission/_local.py
+++ b/packages/admission/src/acaciayard_admission/_local.py
@@ -36,7 +36,7 @@
 )
 from acaciayard_membership import Suspicion
 from acaciayard_timers import TimerService
-from acaciayard_wire import NobodyListensError, StreamLostError
+from acaciayard_wire import StreamLostError, StreamRefusedError
 
 from ._gate import Reservation, SlotHeld
 from ._target import CallAtWork, LocalTarget, TargetConnection
@@ -206,7 +206,7 @@
                     self._connection = await target.new_connection()
                     return None
             except StreamLostError as error:
-                if isinstance(error, NobodyListensError):
+                if isinstance(error, StreamRefusedError):
                     self._targets.note_ended_target(target)
                 return NotRun(f"the target is not there: {error}", _ABSENT_RETRY_AFTER)
             finally:
--- a/packages/admission/src/acaciayard_admission/_target.py
+++ b/packages/admission/src/acaciayard_admission/_target.py
@@ -16,9 +16,9 @@
 from acaciayard_wire import (
     Address,
     ByteStream,
-    NobodyListensError,
     Purpose,
     StreamLostError,
+    StreamRefusedError,
     Traffic,
     connect,
 )
@@ -211,7 +211,7 @@
         with self._timers.timeout(_LOOK_WITHIN):
             try:
                 self.discard(await self.new_connection())
-            except NobodyListensError:
+            except StreamRefusedError:
                 return True
             except StreamLostError:
                 return False  # no sign that the target is gone: this daemon may be short of sockets
--- a/packages/wire/src/acaciayard_wire/__init__.py
+++ b/packages/wire/src/acaciayard_wire/__init__.py
@@ -3,7 +3,7 @@
 from ._codec import MessageCodec, MessageError
 from ._control import Address, ControlPort, DatagramHandler, StreamHandler
 from ._messages import MAX_MESSAGE_BYTES, MessageStream
-from ._stream import ByteStream, Listener, NobodyListensError, StreamLostError, connect, listen
+from ._stream import ByteStream, Listener, StreamLostError, StreamRefusedError, connect, listen
 from ._traffic import PeerTraffic, Purpose, Traffic, TrafficTotals
 
 __all__ = [
@@ -19,7 +19,7 @@
     "PeerTraffic",
     "Purpose",
     "StreamHandler",
-    "NobodyListensError",
+    "StreamRefusedError",
     "StreamLostError",
     "Traffic",
     "TrafficTotals",
--- a/packages/wire/src/acaciayard_wire/_stream.py
+++ b/packages/wire/src/acaciayard_wire/_stream.py
@@ -26,7 +26,7 @@
     """The connection is closed or broken, perhaps in the middle of a message."""
 
 
-class NobodyListensError(StreamLostError):
+class StreamRefusedError(StreamLostError):
     """The host refused the connection, as no process listens on the port."""
 
 
@@ -250,14 +250,14 @@
 
 
 async def connect(address: str, port: int, *, traffic: Traffic, purpose: Purpose) -> ByteStream:
-    """Open a connection; raises `NobodyListensError`, or `StreamLostError` for any other reason."""
+    """Open a connection; raises `StreamRefusedError`, or `StreamLostError` for any other reason."""
     loop = asyncio.get_running_loop()
     try:
         _, stream = await loop.create_connection(
             lambda: ByteStream(traffic=traffic, purpose=purpose), address, port
         )
     except ConnectionRefusedError as error:
-        raise NobodyListensError(f"cannot connect to {address}:{port}: {error}") from error
+        raise StreamRefusedError(f"cannot connect to {address}:{port}: {error}") from error
     except OSError as error:
         raise StreamLostError(f"cannot connect to {address}:{port}: {error}") from error
     return stream
