--- a/packages/timers/src/acaciayard_timers/__init__.py
+++ b/packages/timers/src/acaciayard_timers/__init__.py
@@ -3,7 +3,7 @@
 from ._account import NO_ACCOUNT, ProcessorAccount, ProcessorPart
 from ._pause import PauseDetector
 from ._service import (
-    SLEEP_NOTICED_WITHIN,
+    MAX_RESUME_DELAY,
     EventLoopTimers,
     ManualTimers,
     Subscription,
@@ -13,7 +13,7 @@
 from ._signal import Signal
 
 __all__ = [
-    "SLEEP_NOTICED_WITHIN",
+    "MAX_RESUME_DELAY",
     "NO_ACCOUNT",
     "EventLoopTimers",
     "ManualTimers",
--- a/packages/timers/src/acaciayard_timers/_pause.py
+++ b/packages/timers/src/acaciayard_timers/_pause.py
@@ -5,12 +5,12 @@
 from collections.abc import Callable
 from typing import Final
 
-from ._service import SLEEP_NOTICED_WITHIN, TimerService
+from ._service import MAX_RESUME_DELAY, TimerService
 
 __all__ = ["PauseDetector"]
 
 #: Seconds between two checks of the clock.
-_CHECK_PERIOD: Final = SLEEP_NOTICED_WITHIN
+_CHECK_PERIOD: Final = MAX_RESUME_DELAY
 
 
 class PauseDetector:
--- a/packages/timers/src/acaciayard_timers/_service.py
+++ b/packages/timers/src/acaciayard_timers/_service.py
@@ -24,7 +24,7 @@
 from ._account import NO_ACCOUNT, ProcessorAccount, ProcessorPart
 
 __all__ = [
-    "SLEEP_NOTICED_WITHIN",
+    "MAX_RESUME_DELAY",
     "EventLoopTimers",
     "ManualTimers",
     "Subscription",
@@ -36,7 +36,7 @@
 _MAX_LATE_PERIODS: Final = 1.0
 #: Maximum delay, in seconds after the host resumes from suspension, of timers that came due in the
 #: meantime.  The pause detector checks the clock as often, so that the bound adds no wake-ups.
-SLEEP_NOTICED_WITHIN: Final = 0.25
+MAX_RESUME_DELAY: Final = 0.25
 #: Minimum of seconds by which a wake-up must be postponed for the loop's timer to be replaced.
 _MIN_POSTPONEMENT: Final = 0.001
 #: Cancelled timers that may stay in the heap even if they are the majority; 100 take 20 KB.
@@ -188,7 +188,7 @@
 
     The clock is `CLOCK_BOOTTIME`, which includes the time for which the host was suspended: leases
     expire and callers wait in the meantime.  The loop uses `CLOCK_MONOTONIC`, which excludes it.
-    Therefore loop timers are never longer than `SLEEP_NOTICED_WITHIN`, so that timers that came due
+    Therefore loop timers are never longer than `MAX_RESUME_DELAY`, so that timers that came due
     during a suspension fire within that time after the host resumes.  A `timerfd` on
     `CLOCK_BOOTTIME` would fire at once, but cost a descriptor and a system call for each wake-up.
 
@@ -261,7 +261,7 @@
         if self._wake_up is not None:
             self._wake_up.cancel()
         now = self.now()
-        seconds = min(max(0.0, when - now), SLEEP_NOTICED_WITHIN)
+        seconds = min(max(0.0, when - now), MAX_RESUME_DELAY)
         self._wakes_at = now + seconds
         # Event loops wait for whole milliseconds, counted from before the current callbacks ran.
         # Without the extra millisecond they would often wake up too early and in vain.
--- a/packages/timers/tests/test_suspension.py
+++ b/packages/timers/tests/test_suspension.py
@@ -13,7 +13,7 @@
 
 import anyio
 
-from acaciayard_timers import SLEEP_NOTICED_WITHIN, EventLoopTimers, PauseDetector
+from acaciayard_timers import MAX_RESUME_DELAY, EventLoopTimers, PauseDetector
 
 #: Additional seconds allowed on a busy machine.
 TOLERANCE = 0.3
@@ -75,7 +75,7 @@
             await anyio.sleep(0.1)
             clocks.suspend(10.0)
             self.assertGreaterEqual(timers.now() - before, 10.0)
-            await anyio.sleep(SLEEP_NOTICED_WITHIN + TOLERANCE)
+            await anyio.sleep(MAX_RESUME_DELAY + TOLERANCE)
             self.assertTrue(due.has_fired)
             self.assertFalse(later.has_fired)
             self.assertEqual([round(pause) for pause in pauses], [10])
@@ -90,7 +90,7 @@
                 with timers.timeout(2.0) as scope:
                     await anyio.sleep_forever()
             self.assertTrue(scope.cancelled_caught)
-            self.assertLess(time.monotonic() - started, 0.1 + SLEEP_NOTICED_WITHIN + TOLERANCE)
+            self.assertLess(time.monotonic() - started, 0.1 + MAX_RESUME_DELAY + TOLERANCE)
 
         self.run_with_clocks(body)
 
@@ -105,7 +105,7 @@
             for seconds, shift in ((3.0, -20.0), (30.0, 5.0)):
                 clocks.suspend(seconds)
                 clocks.shift_wall_clock(shift)
-                await anyio.sleep(SLEEP_NOTICED_WITHIN + TOLERANCE)
+                await anyio.sleep(MAX_RESUME_DELAY + TOLERANCE)
                 self.assertEqual(due.has_fired, seconds == 30.0)
             self.assertEqual([round(pause) for pause in pauses], [3, 30])
 
@@ -119,7 +119,7 @@
                 due = timers.call_at(timers.now() + 5.0, lambda: None)
                 await anyio.sleep(0.1)
                 clocks.suspend(10.0)
-                await anyio.sleep(SLEEP_NOTICED_WITHIN + TOLERANCE)
+                await anyio.sleep(MAX_RESUME_DELAY + TOLERANCE)
                 self.assertTrue(due.has_fired)
 
         anyio.run(run)
@@ -129,7 +129,7 @@
             due = timers.call_at(timers.now() + 5.0, lambda: None)
             for seconds in (30.0, -60.0):
                 clocks.shift_wall_clock(seconds)
-                await anyio.sleep(SLEEP_NOTICED_WITHIN + TOLERANCE)
+                await anyio.sleep(MAX_RESUME_DELAY + TOLERANCE)
             self.assertFalse(due.has_fired)
             self.assertEqual(pauses, [])
 
@@ -140,7 +140,7 @@
             due = timers.call_at(timers.now() + 5.0, lambda: None)
             due.cancel()
             clocks.suspend(10.0)
-            await anyio.sleep(SLEEP_NOTICED_WITHIN + TOLERANCE)
+            await anyio.sleep(MAX_RESUME_DELAY + TOLERANCE)
             self.assertFalse(due.has_fired)
 
         self.run_with_clocks(body)
