--- a/packages/api/src/acaciayard_api/_changes.py
+++ b/packages/api/src/acaciayard_api/_changes.py
@@ -209,7 +209,7 @@
     async def _look(self, followed: _Followed) -> None:
         members = self._table.present()
         others = [m for m in members if m.host != self._table.own.host]
-        answers = await self._spread.census.ask(others, within=_CENSUS_WITHIN)
+        answers = await self._spread.status_collector.collect(others, within=_CENSUS_WITHIN)
         version = followed.version
         holder = self._spread.holder
         held = {host for host, answer in answers.items() if answer.position >= version}
--- a/packages/spread/src/acaciayard_spread/__init__.py
+++ b/packages/spread/src/acaciayard_spread/__init__.py
@@ -13,28 +13,28 @@
 from ._session import Session, SessionContext
 from ._snapshots import SnapshotSettings, SnapshotWriter
 from ._topology import FEEDERS, feeders_of, is_feeder, upstream_of
-from ._witnesses import WITNESSES, Witnesses
+from ._witnesses import REQUIRED_WITNESSES, Witnesses
 
 __all__ = [
     "CONFIGURATION_STREAM",
     "FEEDERS",
+    "REQUIRED_WITNESSES",
     "SPREAD_MESSAGES",
-    "WITNESSES",
     "AcceptedChange",
-    "StatusCollector",
     "Feeder",
     "HeadReader",
     "Holder",
-    "SessionManager",
     "LogState",
     "Recovery",
     "RecoveryState",
     "Session",
     "SessionContext",
+    "SessionManager",
     "SnapshotSettings",
     "SnapshotWriter",
     "Spread",
     "StatusAnswer",
+    "StatusCollector",
     "Witnesses",
     "feeders_of",
     "is_feeder",
--- a/packages/spread/src/acaciayard_spread/_census.py
+++ b/packages/spread/src/acaciayard_spread/_census.py
@@ -28,7 +28,7 @@
 
     Example:
 
-        answers = await census.ask(members, within=0.5)
+        answers = await status_collector.collect(members, within=0.5)
         lacking = [m.host for m in members if m.host not in answers]
     """
 
@@ -49,7 +49,7 @@
         port.on_datagram(StatusQuery, self._on_query)
         port.on_datagram(StatusAnswer, self._on_answer)
 
-    async def ask(self, members: Iterable[Member], *, within: float) -> dict[str, StatusAnswer]:
+    async def collect(self, members: Iterable[Member], *, within: float) -> dict[str, StatusAnswer]:
         """The answers received within `within` seconds, by host."""
         asked = list(members)
         number = next(self._numbers)
--- a/packages/spread/src/acaciayard_spread/_messages.py
+++ b/packages/spread/src/acaciayard_spread/_messages.py
@@ -8,6 +8,7 @@
 
 __all__ = [
     "SPREAD_MESSAGES",
+    "FullState",
     "HeadAnswer",
     "HeadRequest",
     "Hello",
@@ -15,7 +16,6 @@
     "RecordBatch",
     "StatusAnswer",
     "StatusQuery",
-    "FullState",
 ]
 
 
--- a/packages/spread/src/acaciayard_spread/_recovery.py
+++ b/packages/spread/src/acaciayard_spread/_recovery.py
@@ -24,7 +24,7 @@
 from ._holder import Holder
 from ._messages import HeadAnswer, HeadRequest
 from ._topology import feeders_of, is_feeder
-from ._witnesses import WITNESSES
+from ._witnesses import REQUIRED_WITNESSES
 
 __all__ = ["HeadReader", "Recovery", "RecoveryState"]
 
@@ -99,7 +99,7 @@
         *,
         holder: Holder,
         members: Membership,
-        census: StatusCollector,
+        status_collector: StatusCollector,
         heads: HeadReader,
         port: ControlPort,
         timers: TimerService,
@@ -107,7 +107,7 @@
     ) -> None:
         self._holder = holder
         self._members = members
-        self._census = census
+        self._status_collector = status_collector
         self._heads = heads
         self._port = port
         self._timers = timers
@@ -196,16 +196,16 @@
     async def _query_members(self, log_reason: str) -> int | None:
         """The floor according to other daemons, or `None` if too few of them know it.
 
-        A version that was in force here was held by `WITNESSES` others.  At least one of these is
-        among the daemons that answer if fewer than `WITNESSES` of all known daemons do not answer
-        or have not recovered themselves.
+        A version that was in force here was held by `REQUIRED_WITNESSES` others.  At least one of
+        them is among the daemons that answer, if fewer than `REQUIRED_WITNESSES` of all known
+        daemons do not answer or have not recovered themselves.
         """
         table = self._members.table
         others = [m for m in (*table.present(), *table.lost()) if m.host != table.own.host]
-        answers = await self._census.ask(others, within=_STATUS_TIMEOUT)
+        answers = await self._status_collector.collect(others, within=_STATUS_TIMEOUT)
         known = [answer for answer in answers.values() if answer.recovered]
         unknown = len(others) - len(known)
-        if known and unknown < min(WITNESSES, len(others)):
+        if known and unknown < min(REQUIRED_WITNESSES, len(others)):
             return max(answer.position for answer in known)
         self._state = RecoveryState(
             is_done=False,
--- a/packages/spread/src/acaciayard_spread/_service.py
+++ b/packages/spread/src/acaciayard_spread/_service.py
@@ -56,11 +56,11 @@
             timers=timers,
             seed=seed,
         )
-        self._census = StatusCollector(port=port, timers=timers, answer=self._status)
+        self._status_collector = StatusCollector(port=port, timers=timers, answer=self._status)
         self._recovery = Recovery(
             holder=holder,
             members=members,
-            census=self._census,
+            status_collector=self._status_collector,
             heads=HeadReader(log, self._log_state, timers),
             port=port,
             timers=timers,
@@ -81,9 +81,9 @@
         return self._recovery
 
     @property
-    def census(self) -> StatusCollector:
+    def status_collector(self) -> StatusCollector:
         """Queries the replication status of other daemons."""
-        return self._census
+        return self._status_collector
 
     @property
     def links(self) -> SessionManager:
--- a/packages/spread/src/acaciayard_spread/_witnesses.py
+++ b/packages/spread/src/acaciayard_spread/_witnesses.py
@@ -1,8 +1,8 @@
 """Tracks the positions other daemons hold, so that no version is in force on one daemon alone.
 
 A restarted daemon holds no state.  If the log is unavailable at that moment, only other daemons
-know which version its host had in force.  Therefore a version is put in force only once `WITNESSES`
-other daemons, its witnesses, hold it.
+know which version its host had in force.  Therefore a version is put in force only once
+`REQUIRED_WITNESSES` other daemons, its witnesses, hold it.
 """
 
 from __future__ import annotations
@@ -14,10 +14,10 @@
 
 from ._holder import Holder
 
-__all__ = ["WITNESSES", "Witnesses"]
+__all__ = ["REQUIRED_WITNESSES", "Witnesses"]
 
 #: Number of other daemons that must hold a version before it is put in force.
-WITNESSES: Final = 2
+REQUIRED_WITNESSES: Final = 2
 #: Seconds for which a failed daemon still counts as a possible witness.  For this long, a daemon
 #: that is partitioned from all others puts no new version in force.
 _FAILED_COUNT_SECONDS: Final = 60.0
@@ -36,13 +36,13 @@
     def needed(self) -> int:
         """Number of witnesses that a version needs now; lower only if fewer daemons exist."""
         others = self._table.present_count - 1
-        if others < WITNESSES:
+        if others < REQUIRED_WITNESSES:
             others += len(self._table.lost_since(self._timers.now() - _FAILED_COUNT_SECONDS))
-        return min(WITNESSES, max(others, 0))
+        return min(REQUIRED_WITNESSES, max(others, 0))
 
     def _on_member(self, _before: Member | None, _now: Member) -> None:
         """Evaluate again, as fewer witnesses may be needed now; with many daemons none may."""
-        if self._table.present_count <= WITNESSES + 1:
+        if self._table.present_count <= REQUIRED_WITNESSES + 1:
             self.evaluate()
 
     def acknowledge(self, host: str, position: int) -> None:
