--- a/packages/admission/src/acaciayard_admission/_target.py
+++ b/packages/admission/src/acaciayard_admission/_target.py
@@ -16,9 +16,9 @@
 from acaciayard_wire import (
     Address,
     ByteStream,
-    NobodyListensError,
     Purpose,
     StreamLostError,
+    StreamRefusedError,
     Traffic,
     connect,
 )
@@ -212,7 +212,7 @@
         with self._timers.timeout(_CHECK_TIMEOUT_SECONDS):
             try:
                 self.discard(await self.new_connection())
-            except NobodyListensError:
+            except StreamRefusedError:
                 return True
             except StreamLostError:
                 return False  # inconclusive: this daemon may have run out of sockets
