--- a/packages/admission/src/acaciayard_admission/__init__.py
+++ b/packages/admission/src/acaciayard_admission/__init__.py
@@ -1,34 +1,34 @@
 """Admission control at a target: its slots, its queue, its announcements, and calls sent to it."""
 
 from ._budgets import CallerLimiter, RetryBudgets, SharedRetryBudgets, retry_after_header
-from ._gate import Gate, Reservation, SlotHeld
+from ._gate import Gate, HeldSlot, Reservation
 from ._level_shares import GatePolicy
 from ._local import LocalExchange
-from ._suspects import ENDS_TO_BAR, SuspectNews, Suspects
-from ._target import Announcement, CallAtWork, LocalTarget
-from ._target_news import CallTold, Heard, TargetNews
-from ._targets import ANNOUNCE_EVERY, LEASE, LocalTargets
+from ._suspects import ENDS_TO_BAR, SuspectEvent, Suspects
+from ._target import Announcement, LocalTarget, RunningCall
+from ._target_news import AnnouncementResult, LoggedCall, TargetEvent
+from ._targets import ANNOUNCE_INTERVAL_SECONDS, LEASE_SECONDS, LocalTargets
 
 __all__ = [
-    "ANNOUNCE_EVERY",
+    "ANNOUNCE_INTERVAL_SECONDS",
     "Announcement",
-    "CallAtWork",
-    "CallTold",
+    "AnnouncementResult",
     "CallerLimiter",
     "ENDS_TO_BAR",
     "Gate",
     "GatePolicy",
-    "Heard",
-    "LEASE",
+    "HeldSlot",
+    "LEASE_SECONDS",
     "LocalExchange",
     "LocalTarget",
     "LocalTargets",
+    "LoggedCall",
     "Reservation",
     "RetryBudgets",
+    "RunningCall",
     "SharedRetryBudgets",
-    "SlotHeld",
-    "SuspectNews",
+    "SuspectEvent",
     "Suspects",
-    "TargetNews",
+    "TargetEvent",
     "retry_after_header",
 ]
--- a/packages/admission/src/acaciayard_admission/_budgets.py
+++ b/packages/admission/src/acaciayard_admission/_budgets.py
@@ -42,7 +42,7 @@
     def __init__(self) -> None:
         self._saved: dict[str, float] = {}
 
-    def pay_in(self, service: str, percent: float) -> None:
+    def deposit(self, service: str, percent: float) -> None:
         """Count a call, which earns `percent` hundredths of a retry."""
         saved = self._saved.get(service, _INITIAL_SAVED_RETRIES)
         self._saved[service] = min(_MAX_SAVED_RETRIES, saved + percent / 100)
@@ -111,7 +111,7 @@
         share.refilled_at = now
         return share
 
-    def pay_in(self, service: str, percent: float) -> None:
+    def deposit(self, service: str, percent: float) -> None:
         """Count a call; `percent` is the policy of its route, which may allow fewer retries."""
         share = self._share_of(service)
         earned = min(self._ratio, percent / 100)
--- a/packages/admission/src/acaciayard_admission/_gate.py
+++ b/packages/admission/src/acaciayard_admission/_gate.py
@@ -18,7 +18,7 @@
 from ._fair_queue import FairQueue
 from ._level_shares import INNER_LEVEL, LEVELS, GatePolicy, LevelShares, level_of
 
-__all__ = ["Gate", "Reservation", "SlotHeld"]
+__all__ = ["Gate", "HeldSlot", "Reservation"]
 
 #: Divisor of the queue length that gives the places reserved for each priority level.
 _RESERVE_DIVISOR: Final = 8
@@ -45,7 +45,7 @@
 
 
 @define(eq=False)
-class SlotHeld:
+class HeldSlot:
     """A slot that a call occupies; the owner must release it."""
 
     #: Priority level of the call.
@@ -199,7 +199,7 @@
         *,
         workspace: str = "",
         is_inner: bool = False,
-    ) -> SlotHeld | NotRun | None:
+    ) -> HeldSlot | NotRun | None:
         """Return a slot or a refusal at once, or `None` if the call may `wait`.
 
         `is_inner` marks a nested call, which a target makes for a call that it runs.
@@ -235,7 +235,7 @@
 
     async def wait(
         self, priority: int, deadline: float, *, workspace: str = "", is_inner: bool = False
-    ) -> SlotHeld | NotRun:
+    ) -> HeldSlot | NotRun:
         """Wait in the queue; return a slot or the refusal."""
         level = level_of(priority, is_inner=is_inner)
         waiter = _Waiter(level, workspace, deadline, anyio.Event())
@@ -286,15 +286,15 @@
             case _:
                 return self._slots
 
-    def _occupy(self, level: int, workspace: str) -> SlotHeld:
+    def _occupy(self, level: int, workspace: str) -> HeldSlot:
         self._running[level] += 1
         self._running_count += 1
         return self._new_slot(level, workspace)
 
-    def _new_slot(self, level: int, workspace: str) -> SlotHeld:
-        return SlotHeld(level, workspace, self._timers.now(), self)
+    def _new_slot(self, level: int, workspace: str) -> HeldSlot:
+        return HeldSlot(level, workspace, self._timers.now(), self)
 
-    def _release(self, held: SlotHeld, *, is_good: bool) -> None:
+    def _release(self, held: HeldSlot, *, is_good: bool) -> None:
         level = held.level
         self._running[level] -= 1
         self._running_count -= 1
--- a/packages/admission/src/acaciayard_admission/_level_shares.py
+++ b/packages/admission/src/acaciayard_admission/_level_shares.py
@@ -30,10 +30,10 @@
     #: Slots that the classes below the highest must leave free.
     middle_spare: int = 1
     #: Weights by which slot time is divided among classes with waiting calls, the highest first.
-    parts: tuple[int, ...] = (16, 4, 1)
+    weights: tuple[int, ...] = (16, 4, 1)
     #: Weight of nested calls.  It is the highest, since the calls that wait for them occupy slots
     #: meanwhile, and the work done for those is lost if a nested call fails.
-    inner_part: int = 32
+    inner_weight: int = 32
 
 
 def level_of(priority: int, *, is_inner: bool = False) -> int:
@@ -54,7 +54,7 @@
     """
 
     def __init__(self, policy: GatePolicy) -> None:
-        self._weights = (policy.inner_part, *policy.parts)
+        self._weights = (policy.inner_weight, *policy.weights)
         self._virtual_starts = [0.0] * LEVELS
         self._virtual_time = 0.0
 
--- a/packages/admission/src/acaciayard_admission/_local.py
+++ b/packages/admission/src/acaciayard_admission/_local.py
@@ -38,8 +38,8 @@
 from acaciayard_timers import TimerService
 from acaciayard_wire import NobodyListensError, StreamLostError
 
-from ._gate import Reservation, SlotHeld
-from ._target import CallAtWork, LocalTarget, TargetConnection
+from ._gate import HeldSlot, Reservation
+from ._target import LocalTarget, RunningCall, TargetConnection
 from ._target_answers import fault_in, may_reuse, refused_by_target
 from ._targets import LocalTargets
 
@@ -76,10 +76,10 @@
         self._targets = targets
         self._timers = timers
         self._target: LocalTarget | None = None
-        self._slot: SlotHeld | None = None
+        self._slot: HeldSlot | None = None
         self._reservation: Reservation | None = None
         self._connection: TargetConnection | None = None
-        self._at_work: CallAtWork | None = None
+        self._at_work: RunningCall | None = None
         self._waiting: anyio.CancelScope | None = None
         self._is_aborted = False
         self._sent = False
@@ -218,7 +218,7 @@
         reason = f"the target took no connection in {_CONNECT_TIMEOUT_SECONDS:g} s"
         return NotRun(reason, _ABSENT_RETRY_AFTER_SECONDS)
 
-    async def _wait(self, target: LocalTarget) -> SlotHeld | NotRun:
+    async def _wait(self, target: LocalTarget) -> HeldSlot | NotRun:
         """Wait in the queue of the target; `abort` cancels the wait."""
         self._on_queued()
         with anyio.CancelScope() as scope:
@@ -337,7 +337,7 @@
             await self._read_whole()
             assert self._target is not None
             return refused_by_target(head.status, self._target.gate)
-        self._targets.suspects.note_good(self._call)
+        self._targets.suspects.note_success(self._call)
         fault = fault_in(head, self._call, self._dialect)
         return OutcomeUnknown(fault) if fault else await self._answer_of(head)
 
--- a/packages/admission/src/acaciayard_admission/_suspects.py
+++ b/packages/admission/src/acaciayard_admission/_suspects.py
@@ -18,7 +18,7 @@
     suspects = Suspects(timers=timers, dialect=dialect)
     suspicion = suspects.of(call)               # None: the request is not suspected
     suspects.note_end(call, known=suspicion)    # the target has ended
-    suspects.note_good(call)                    # a target has answered it
+    suspects.note_success(call)                 # a target has answered it
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 from acaciayard_membership import Member, Membership, Suspicion
 from acaciayard_timers import TimerService
 
-__all__ = ["ENDS_TO_BAR", "SuspectNews", "Suspects"]
+__all__ = ["ENDS_TO_BAR", "SuspectEvent", "Suspects"]
 
 #: Number of targets that must have ended while running a request, one after another, before it is
 #: barred.  Any call of the first target may be the cause.  At the second and the third the request
@@ -57,7 +57,7 @@
 
 
 @frozen
-class SuspectNews:
+class SuspectEvent:
     """A change in what this daemon knows about a request, for logs."""
 
     #: Fingerprint of the request in hexadecimal.
@@ -85,7 +85,7 @@
 class Suspects:
     """The suspected requests that this daemon knows of.
 
-    `tell` is called with an event for each change; `share` exchanges suspicions with the other
+    `on_event` is called with an event for each change; `share` exchanges suspicions with the other
     daemons.
     """
 
@@ -94,12 +94,12 @@
         *,
         timers: TimerService,
         dialect: Dialect = OWN_DIALECT,
-        tell: Callable[[SuspectNews], None] = lambda _news: None,
+        on_event: Callable[[SuspectEvent], None] = lambda _news: None,
     ) -> None:
         self._timers = timers
         self._dialect = dialect
         self._members: Membership | None = None
-        self._tell = tell
+        self._on_event = on_event
         self._known: dict[bytes, _Entry] = {}
         self._own: dict[bytes, Suspicion] = {}
         self._refused = 0
@@ -112,7 +112,7 @@
         """
         self._members = members
         members.table.subscribe(self._on_member_change)
-        members.table.on_own_past(lambda past: self.recall(past.suspicions))
+        members.table.on_own_past(lambda past: self.restore(past.suspicions))
 
     def _on_member_change(self, before: Member | None, now: Member) -> None:
         assert self._members is not None
@@ -123,7 +123,7 @@
     def _publish(self) -> None:
         """Publish at once, since the request may already have reached the other daemons."""
         if self._members is not None:
-            self._members.table.set_suspicions(self.told())
+            self._members.table.set_suspicions(self.published())
             self._members.flush()
 
     @property
@@ -217,7 +217,7 @@
         ends = before.ends if before is not None else 0
         self._apply(Suspicion(fingerprint, sequence + 1, ends + 1), is_own=is_own)
 
-    def note_good(self, call: Call) -> None:
+    def note_success(self, call: Call) -> None:
         """Clear a request, because a target has answered it."""
         if self.of(call) is not None:
             self.lift(self.fingerprint_of(call))
@@ -236,7 +236,7 @@
         for suspicion in suspicions:
             self._apply(suspicion, is_own=False)
 
-    def recall(self, suspicions: Iterable[Suspicion]) -> None:
+    def restore(self, suspicions: Iterable[Suspicion]) -> None:
         """Restore the suspicions that this daemon had published before its restart."""
         for suspicion in suspicions:
             self._apply(suspicion, is_own=True)
@@ -259,9 +259,9 @@
         what = "cleared"
         if suspicion.ends:
             what = "barred" if suspicion.ends >= ENDS_TO_BAR else "suspected"
-        self._tell(SuspectNews(suspicion.fingerprint.hex(), what, suspicion.ends, is_heard))
+        self._on_event(SuspectEvent(suspicion.fingerprint.hex(), what, suspicion.ends, is_heard))
 
-    def told(self) -> tuple[Suspicion, ...]:
+    def published(self) -> tuple[Suspicion, ...]:
         """Return the suspicions to publish: barred requests first, then the newest."""
         newest_first = reversed(self._own.values())
         gravest = sorted(newest_first, key=lambda s: s.ends < ENDS_TO_BAR)
@@ -286,7 +286,7 @@
         for suspicion in old:
             self._remove(suspicion)
             if suspicion.ends:
-                self._tell(SuspectNews(suspicion.fingerprint.hex(), "expired", suspicion.ends))
+                self._on_event(SuspectEvent(suspicion.fingerprint.hex(), "expired", suspicion.ends))
 
     def _remove(self, suspicion: Suspicion) -> None:
         del self._known[suspicion.fingerprint]
--- a/packages/admission/src/acaciayard_admission/_target.py
+++ b/packages/admission/src/acaciayard_admission/_target.py
@@ -27,7 +27,7 @@
 from ._level_shares import GatePolicy
 from ._starts import Start
 
-__all__ = ["DEFAULT_QUEUE", "Announcement", "CallAtWork", "LocalTarget", "TargetConnection"]
+__all__ = ["DEFAULT_QUEUE", "Announcement", "LocalTarget", "RunningCall", "TargetConnection"]
 
 #: Divisor of the slots of a target that is still starting.
 _STARTING_SLOTS_DIVISOR: Final = 3
@@ -90,7 +90,7 @@
 
 
 @define(eq=False)
-class CallAtWork:
+class RunningCall:
     """A call that was sent to a target and has not ended."""
 
     #: The call.
@@ -127,10 +127,10 @@
         )
         self._idle: list[TargetConnection] = []
         self._in_use: set[TargetConnection] = set()
-        self._at_work: set[CallAtWork] = set()
+        self._at_work: set[RunningCall] = set()
         self._listen_check: _ListenCheck | None = None
         self._is_ended = False
-        self._blamed: frozenset[CallAtWork] = frozenset()
+        self._blamed: frozenset[RunningCall] = frozenset()
         self._is_withdrawn = False
         self.lease_until = 0.0
 
@@ -153,7 +153,7 @@
         return self._gate
 
     @property
-    def at_work(self) -> tuple[CallAtWork, ...]:
+    def at_work(self) -> tuple[RunningCall, ...]:
         """Calls that were sent to the target and have not ended."""
         return tuple(self._at_work)
 
@@ -163,7 +163,7 @@
         return any(each.suspicion is not None for each in self._at_work)
 
     @property
-    def blamed(self) -> frozenset[CallAtWork]:
+    def blamed(self) -> frozenset[RunningCall]:
         """The calls that may have caused the end of the target; empty while it lives.
 
         These are all calls that were running, even if one of them was a suspect: if only the
@@ -180,13 +180,13 @@
         self._blamed = frozenset(self._at_work)
         return True
 
-    def begin(self, call: Call, suspicion: Suspicion | None) -> CallAtWork:
+    def begin(self, call: Call, suspicion: Suspicion | None) -> RunningCall:
         """Record that a call is sent to the target; `finish` must follow."""
-        running = CallAtWork(call, suspicion)
+        running = RunningCall(call, suspicion)
         self._at_work.add(running)
         return running
 
-    def finish(self, running: CallAtWork) -> None:
+    def finish(self, running: RunningCall) -> None:
         """Record that a call has ended or that its connection was closed."""
         self._at_work.discard(running)
 
--- a/packages/admission/src/acaciayard_admission/_target_news.py
+++ b/packages/admission/src/acaciayard_admission/_target_news.py
@@ -6,14 +6,14 @@
 
 from attrs import frozen
 
-__all__ = ["CallTold", "Heard", "TargetNews"]
+__all__ = ["AnnouncementResult", "LoggedCall", "TargetEvent"]
 
 
-class Heard(Enum):
+class AnnouncementResult(Enum):
     """Result of processing an announcement; the values are the reasons in logs."""
 
     #: The announcement was accepted.
-    TAKEN = "taken"
+    ACCEPTED = "taken"
     #: It has no start time, although targets on this host report theirs.
     WITHOUT_START = "no time of start"
     #: That start of the target, or a later one, has left.
@@ -29,7 +29,7 @@
 
 
 @frozen
-class CallTold:
+class LoggedCall:
     """A call as described in logs."""
 
     #: Identity of the attempt.
@@ -41,7 +41,7 @@
 
 
 @frozen
-class TargetNews:
+class TargetEvent:
     """A change in what this daemon knows about a target, for logs."""
 
     #: Name of the target.
@@ -55,6 +55,6 @@
     #: Sequence number of the announcement that caused the event; 0 if unknown.
     sequence: int = 0
     #: Calls that were running when the target process ended.
-    at_work: tuple[CallTold, ...] = ()
+    at_work: tuple[LoggedCall, ...] = ()
     #: Software version of the target; empty if unknown or logged before.
     version: str = ""
--- a/packages/admission/src/acaciayard_admission/_targets.py
+++ b/packages/admission/src/acaciayard_admission/_targets.py
@@ -14,15 +14,15 @@
 from ._level_shares import GatePolicy
 from ._starts import Start, StartRecords
 from ._suspects import Suspects
-from ._target import DEFAULT_QUEUE, Announcement, CallAtWork, LocalTarget
-from ._target_news import CallTold, Heard, TargetNews
+from ._target import DEFAULT_QUEUE, Announcement, LocalTarget, RunningCall
+from ._target_news import AnnouncementResult, LoggedCall, TargetEvent
 
-__all__ = ["ANNOUNCE_EVERY", "LEASE", "LocalTargets"]
+__all__ = ["ANNOUNCE_INTERVAL_SECONDS", "LEASE_SECONDS", "LocalTargets"]
 
 #: Time for which an announcement is valid.
-LEASE: Final = 4.0
+LEASE_SECONDS: Final = 4.0
 #: Interval at which targets are asked to announce themselves.
-ANNOUNCE_EVERY: Final = 1.0
+ANNOUNCE_INTERVAL_SECONDS: Final = 1.0
 #: Separator between the request id of a call and the suffix that identifies a nested call.
 _NESTED_SEPARATOR: Final = b"."
 
@@ -30,8 +30,8 @@
 class LocalTargets:
     """Registry of all targets on this host.
 
-    `publish` is called with the state that other daemons need, whenever that changes, and `tell`
-    with an event for each change of a target.
+    `publish` is called with the state that other daemons need, whenever that changes, and
+    `on_event` with an event for each change of a target.
     """
 
     def __init__(
@@ -42,13 +42,13 @@
         traffic: Traffic,
         host: str,
         publish: Callable[[tuple[TargetInfo, ...]], None],
-        lease: float = LEASE,
+        lease: float = LEASE_SECONDS,
         policy: GatePolicy = GatePolicy(),  # noqa: B008 - frozen
         suspects: Suspects | None = None,
         is_settled: bool = True,
-        tell: Callable[[TargetNews], None] = lambda _news: None,
+        on_event: Callable[[TargetEvent], None] = lambda _news: None,
     ) -> None:
-        self._tell = tell
+        self._on_event = on_event
         self._suspects = suspects or Suspects(timers=timers)
         self._ended = 0
         self._is_settled = is_settled
@@ -82,7 +82,7 @@
         """Number of targets whose process has ended while it ran calls."""
         return self._ended
 
-    def announce(self, announcement: Announcement) -> Heard:
+    def announce(self, announcement: Announcement) -> AnnouncementResult:
         """Process an announcement, and publish the targets to the other daemons if it is accepted.
 
         Once a start of a target has reported that it is leaving, neither it nor an earlier start
@@ -108,12 +108,12 @@
         target.lease_until = self._timers.now() + self._lease
         self._update_gate(target)
         self._publish_all()
-        return Heard.TAKEN
+        return AnnouncementResult.ACCEPTED
 
     def _emit(self, announcement: Announcement, what: str, reason: str = "") -> None:
         start = announcement.start
-        self._tell(
-            TargetNews(
+        self._on_event(
+            TargetEvent(
                 name=start.name,
                 born=start.born,
                 what=what,
@@ -123,28 +123,28 @@
             )
         )
 
-    def _ignored_because(self, announcement: Announcement) -> Heard | None:
+    def _ignored_because(self, announcement: Announcement) -> AnnouncementResult | None:
         """Return why an announcement is ignored, or `None` if it is to be accepted."""
         start = announcement.start
         if not start.born and self._starts.reports_start_times:
-            return Heard.WITHOUT_START
+            return AnnouncementResult.WITHOUT_START
         known = self._targets.get(start.name)
         if known is None:
             if self._starts.has_left(start):
-                return Heard.LEFT
+                return AnnouncementResult.LEFT
         elif start.born < known.announcement.born:
-            return Heard.OLDER_START
+            return AnnouncementResult.OLDER_START
         elif start == known.announcement.start:
             is_stale = announcement.sequence < known.announcement.sequence
-            return Heard.OLDER_REPORT if is_stale else None
+            return AnnouncementResult.OLDER_REPORT if is_stale else None
         others = [t for t in self._targets.values() if _has_same_address(t, announcement)]
         if any(other.announcement.born > announcement.born for other in others):
             # An announcement delayed by a network interruption may arrive when its sender has
             # crashed and another target uses its address.  Accepting it would withdraw the target
             # that is alive.
-            return Heard.ADDRESS_TAKEN
+            return AnnouncementResult.ADDRESS_TAKEN
         if (others or known is not None) and not self._is_configured(announcement.service):
-            return Heard.UNKNOWN_SERVICE
+            return AnnouncementResult.UNKNOWN_SERVICE
         return None
 
     def _is_configured(self, service: str) -> bool:
@@ -203,10 +203,10 @@
         at_work = target.at_work
         self._ended += bool(at_work)
         calls = tuple(self._describe_call(running, target) for running in at_work)
-        self._tell(TargetNews(start.name, start.born, "ended", at_work=calls))
+        self._on_event(TargetEvent(start.name, start.born, "ended", at_work=calls))
 
-    def _describe_call(self, running: CallAtWork, target: LocalTarget) -> CallTold:
-        return CallTold(
+    def _describe_call(self, running: RunningCall, target: LocalTarget) -> LoggedCall:
+        return LoggedCall(
             request_id=running.call.request_id.decode("latin-1"),
             fingerprint=self._suspects.fingerprint_of(running.call).hex(),
             is_blamed=running in target.blamed,
@@ -240,7 +240,7 @@
             born = target.announcement.born
         start = Start(name, born)
         if not self._starts.has_left(start):
-            self._tell(TargetNews(name, born, "leaving"))
+            self._on_event(TargetEvent(name, born, "leaving"))
         self._starts.leave(start)
         if target is not None:
             self._update_gate(target)
@@ -300,7 +300,7 @@
 
     async def run(self) -> None:
         """Withdraw targets whose lease has expired; runs until cancelled."""
-        async for _ in self._timers.ticks(ANNOUNCE_EVERY / 2):
+        async for _ in self._timers.ticks(ANNOUNCE_INTERVAL_SECONDS / 2):
             now = self._timers.now()
             for name in [n for n, t in self._targets.items() if t.lease_until < now]:
                 self.withdraw(name, "the target no longer announces itself")
--- a/packages/admission/tests/test_gate.py
+++ b/packages/admission/tests/test_gate.py
@@ -8,7 +8,7 @@
 
 import anyio
 
-from acaciayard_admission import Gate, Reservation, SlotHeld
+from acaciayard_admission import Gate, HeldSlot, Reservation
 from acaciayard_admission._target_answers import refused_by_target
 from acaciayard_callmodel import NotRun
 from acaciayard_timers import ManualTimers
@@ -32,9 +32,9 @@
 
         anyio.run(run)
 
-    def take(self, gate: Gate, priority: int, count: int) -> list[SlotHeld]:
+    def take(self, gate: Gate, priority: int, count: int) -> list[HeldSlot]:
         held = [gate.try_enter(priority, 100.0) for _ in range(count)]
-        self.assertTrue(all(isinstance(slot, SlotHeld) for slot in held))
+        self.assertTrue(all(isinstance(slot, HeldSlot) for slot in held))
         return held  # type: ignore[return-value]
 
     def test_lower_classes_leave_slots_free_for_higher_ones(self) -> None:
@@ -154,7 +154,7 @@
 
             async def one(name: str, *, is_inner: bool) -> None:
                 held = await gate.wait(BULK, 1000.0, is_inner=is_inner)
-                assert isinstance(held, SlotHeld)
+                assert isinstance(held, HeldSlot)
                 admitted.append(name)
                 await timers.sleep(0.1)
                 held.release()
@@ -194,7 +194,7 @@
 
             async def one(priority: int) -> None:
                 held = await gate.wait(priority, 1000.0)
-                assert isinstance(held, SlotHeld)
+                assert isinstance(held, HeldSlot)
                 admitted.append(priority)
                 await timers.sleep(1.0)
                 held.release()
--- a/packages/api/src/acaciayard_api/_app.py
+++ b/packages/api/src/acaciayard_api/_app.py
@@ -15,7 +15,7 @@
 from starlette.responses import JSONResponse, Response, StreamingResponse
 from starlette.routing import Route as UrlRoute
 
-from acaciayard_admission import ANNOUNCE_EVERY, LEASE, LocalTargets, Suspects
+from acaciayard_admission import ANNOUNCE_INTERVAL_SECONDS, LEASE_SECONDS, LocalTargets, Suspects
 from acaciayard_calls import ServiceLevels
 from acaciayard_membership import Member, MemberTable
 from acaciayard_quotas import MeshCaps
@@ -322,7 +322,9 @@
 
     async def announce(self, request: Request) -> Response:
         self._context.targets.announce(read_announcement(await self._body(request)))
-        return JSONResponse({"lease_s": LEASE, "announce_every_s": ANNOUNCE_EVERY})
+        return JSONResponse(
+            {"lease_s": LEASE_SECONDS, "announce_every_s": ANNOUNCE_INTERVAL_SECONDS}
+        )
 
     async def withdraw(self, request: Request) -> Response:
         name = request.path_params["name"]
--- a/packages/calls/src/acaciayard_calls/_dispatcher.py
+++ b/packages/calls/src/acaciayard_calls/_dispatcher.py
@@ -34,7 +34,7 @@
     ) -> Answered | NotRun | OutcomeUnknown:
         """Run a call whose body is whole; `watch` gives it up when its caller goes away."""
         attempts = plan.retry.attempts if may_retry and plan.route.idempotent else 1
-        self._parts.budgets.pay_in(plan.service.name, plan.retry.budget_percent)
+        self._parts.budgets.deposit(plan.service.name, plan.retry.budget_percent)
         if call.is_repeat:
             self._parts.budgets.charge(plan.service.name)
         run = CallRun(self._parts, call, plan, router, watch, attempts=attempts)
--- a/packages/calls/tests/load_exchange.py
+++ b/packages/calls/tests/load_exchange.py
@@ -8,7 +8,7 @@
 import anyio
 from attrs import field, frozen
 
-from acaciayard_admission import SlotHeld
+from acaciayard_admission import HeldSlot
 from acaciayard_admission._target_answers import refused_by_target
 from acaciayard_callmodel import Answer, Call, Exchange, NotRun, OutcomeUnknown
 from acaciayard_calls import Answered, CallParts
@@ -51,7 +51,7 @@
         near = here.target.domain == there.target.domain
         self._link = 0.0 if here is there else NEAR_LINK if near else DOMAIN_LINK
         self._scope: anyio.CancelScope | None = None
-        self._slot: SlotHeld | None = None
+        self._slot: HeldSlot | None = None
         self._is_aborted = False
         self._is_acknowledged = False
         self._was_sent = False
@@ -87,7 +87,7 @@
         call = self._call
         await timers.sleep(self._link)
         self._is_acknowledged = True
-        entered: SlotHeld | NotRun | None
+        entered: HeldSlot | NotRun | None
         if target.gone[0] <= timers.now() < target.gone[1]:
             entered = NotRun("the target drains", 0.1)
         else:
--- a/packages/calls/tests/load_model.py
+++ b/packages/calls/tests/load_model.py
@@ -50,7 +50,7 @@
             slots=target.slots,
             queue_length=200,
             timers=mesh.timers,
-            policy=GatePolicy(lowest_share=1.0, middle_spare=0, parts=(4, 3, 1), inner_part=8),
+            policy=GatePolicy(lowest_share=1.0, middle_spare=0, weights=(4, 3, 1), inner_weight=8),
         )
         self.seed = random.Random(f"{mesh.seed_text}/{target.host}")
         self.busy = 0.0
--- a/packages/calls/tests/suspects_model.py
+++ b/packages/calls/tests/suspects_model.py
@@ -15,7 +15,7 @@
 
 from attrs import define, field
 
-from acaciayard_admission import Announcement, CallAtWork, GatePolicy, LocalTarget, Suspects
+from acaciayard_admission import Announcement, GatePolicy, LocalTarget, RunningCall, Suspects
 from acaciayard_callmodel import Call
 from acaciayard_routing import trial_rank
 from acaciayard_timers import ManualTimers
@@ -105,7 +105,7 @@
 
     def tell(self, host: _Host) -> None:
         for other in self.hosts:
-            told = host.suspects.told()
+            told = host.suspects.published()
             merge = other.suspects.merge
             self.after(self.seed.uniform(*NEWS_WITHIN), lambda merge=merge, told=told: merge(told))
 
@@ -180,14 +180,14 @@
         self.after(runs, lambda: self._over(begun, host, target, entry, tries))
 
     def _over(
-        self, begun: CallAtWork, host: _Host, target: LocalTarget, entry: _Host, tries: int
+        self, begun: RunningCall, host: _Host, target: LocalTarget, entry: _Host, tries: int
     ) -> None:
         made = begun.call
         if made.target.startswith(b"/fatal") and host.target is target:
             self.outcome.ends.setdefault(made.target, []).append(self.timers.now())
             host.end()
         if host.target is target:
-            host.suspects.note_good(made)
+            host.suspects.note_success(made)
             self.tell(host)
         elif tries > 1:
             if begun in target.blamed:
--- a/packages/calls/tests/test_call_run.py
+++ b/packages/calls/tests/test_call_run.py
@@ -11,7 +11,7 @@
 import attrs
 from call_rig import IP, Host, Rig, ScriptedTarget, answer, router
 
-from acaciayard_admission import Heard, SlotHeld
+from acaciayard_admission import AnnouncementResult, HeldSlot
 from acaciayard_callmodel import CallWatch, NotRun, OutcomeUnknown
 from acaciayard_calls import Answered
 from acaciayard_handover._messages import CALL_CODEC, Admitted, Ask
@@ -125,7 +125,7 @@
 
             def start_again() -> None:
                 again = attrs.evolve(target.announcement, born=2_000_000)
-                self.assertIs(host.targets.announce(again), Heard.TAKEN)
+                self.assertIs(host.targets.announce(again), AnnouncementResult.ACCEPTED)
 
             rig.timers.call_at(rig.timers.now() + 0.2, start_again)
             started = rig.timers.now()
@@ -179,7 +179,7 @@
                 gate = host.targets.all[0].gate
                 for _ in range(gate.slots):
                     held = gate.try_enter(0, rig.timers.now() + 9)
-                    assert isinstance(held, SlotHeld)
+                    assert isinstance(held, HeldSlot)
                     rig.timers.call_at(rig.timers.now() + seconds, held.release)
             for _ in range(8):  # calls that wait at one of them
                 rig.tasks.start_soon(crowded.targets.all[0].gate.wait, 0, rig.timers.now() + 9)
@@ -215,7 +215,7 @@
                 await anyio.sleep(0.3)
                 self.assertEqual(outcomes, [])
                 for each in held:
-                    assert isinstance(each, SlotHeld)
+                    assert isinstance(each, HeldSlot)
                     each.release()
             for outcome in outcomes:
                 assert isinstance(outcome, Answered), outcome
--- a/packages/calls/tests/test_chains.py
+++ b/packages/calls/tests/test_chains.py
@@ -137,7 +137,7 @@
 
     def test_inner_calls_need_a_part_of_their_own(self) -> None:
         """With a part no larger than that of bookings, reads are lost for the calls they make."""
-        without = GatePolicy(lowest_share=1.0, middle_spare=0, parts=(4, 3, 1), inner_part=1)
+        without = GatePolicy(lowest_share=1.0, middle_spare=0, weights=(4, 3, 1), inner_weight=1)
         init = Gate.__init__
 
         def narrow(self: Gate, **named: object) -> None:
--- a/packages/calls/tests/test_refused_offer.py
+++ b/packages/calls/tests/test_refused_offer.py
@@ -11,7 +11,7 @@
 import anyio
 from call_rig import IP, Host, ScriptedTarget
 
-from acaciayard_admission import SlotHeld
+from acaciayard_admission import HeldSlot
 from acaciayard_handover._messages import CALL_CODEC, CallHead, Refused
 from acaciayard_http1 import RequestHead
 from acaciayard_wire import ByteStream, MessageStream, Purpose, Traffic, connect
@@ -36,7 +36,7 @@
                 await host.open(tasks, slots=1)
                 (target,) = host.targets.all
                 held = target.gate.try_enter(1, math.inf)
-                assert isinstance(held, SlotHeld)
+                assert isinstance(held, HeldSlot)
                 stream = await connect(
                     IP, host.server.port, traffic=Traffic(), purpose=Purpose.CALLS
                 )
--- a/packages/calls/tests/test_routing.py
+++ b/packages/calls/tests/test_routing.py
@@ -247,7 +247,7 @@
         budgets = RetryBudgets()
         retries = 0
         for _ in range(1000):
-            budgets.pay_in("a", 10)
+            budgets.deposit("a", 10)
             retries += budgets.take("a")
         self.assertLessEqual(retries, 1000 * 0.1 + 3)
 
--- a/packages/calls/tests/test_suspects.py
+++ b/packages/calls/tests/test_suspects.py
@@ -9,7 +9,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from acaciayard_admission import ENDS_TO_BAR, SuspectNews, Suspects
+from acaciayard_admission import ENDS_TO_BAR, SuspectEvent, Suspects
 from acaciayard_callmodel import Call, Dialect
 from acaciayard_callmodel._fingerprints import fingerprint_of
 from acaciayard_membership import Suspicion
@@ -60,11 +60,11 @@
 class SuspectsTest(unittest.TestCase):
     def setUp(self) -> None:
         self.timers = ManualTimers()
-        self.news: list[SuspectNews] = []
+        self.news: list[SuspectEvent] = []
         self.suspects = self.new_daemon()
 
     def new_daemon(self) -> Suspects:
-        return Suspects(timers=self.timers, dialect=DIALECT, tell=self.news.append)
+        return Suspects(timers=self.timers, dialect=DIALECT, on_event=self.news.append)
 
     def end_under(self, each: Call, times: int = 1) -> None:
         for _ in range(times):
@@ -87,7 +87,7 @@
 
     def test_a_good_answer_clears_and_the_count_begins_anew(self) -> None:
         self.end_under(call(), 2)
-        self.suspects.note_good(call())
+        self.suspects.note_success(call())
         self.assertIsNone(self.suspects.of(call()))
         self.end_under(call(), 2)
         self.assertFalse(self.is_barred(call()))
@@ -106,9 +106,9 @@
     def test_what_daemons_tell_each_other_agrees_in_any_order(self) -> None:
         other = self.new_daemon()
         self.end_under(call(), 2)
-        other.merge(self.suspects.told())
-        other.note_good(call())
-        told = (*self.suspects.told(), *other.told())
+        other.merge(self.suspects.published())
+        other.note_success(call())
+        told = (*self.suspects.published(), *other.published())
         for order in itertools.permutations(told):
             third = self.new_daemon()
             third.merge(order)
@@ -131,7 +131,7 @@
         self.timers._now += TEN_MINUTES + 1
         self.suspects.forget_old()
         self.assertIsNone(self.suspects.of(call()))
-        self.assertEqual(self.suspects.told(), ())
+        self.assertEqual(self.suspects.published(), ())
         self.assertEqual(self.news[-1].what, "expired")
 
     def test_an_operator_lifts_it(self) -> None:
@@ -146,15 +146,15 @@
             self.end_under(call(b"/%d" % number))
         self.assertTrue(self.is_barred(call()))
         self.assertLessEqual(self.suspects.suspected, 1024)
-        told = self.suspects.told()
+        told = self.suspects.published()
         self.assertLessEqual(len(told), 24)
         self.assertEqual(told[0].ends, ENDS_TO_BAR)
 
     def test_what_a_restarted_daemon_had_found_out_is_told_again(self) -> None:
         self.end_under(call(), ENDS_TO_BAR)
         restarted = self.new_daemon()
-        restarted.recall(self.suspects.told())
-        self.assertEqual(restarted.told(), self.suspects.told())
+        restarted.restore(self.suspects.published())
+        self.assertEqual(restarted.published(), self.suspects.published())
 
     def test_a_refusal_says_why_and_when_to_come_back(self) -> None:
         self.end_under(call(), ENDS_TO_BAR)
@@ -182,12 +182,12 @@
                 case "end":
                     daemon.note_end(call(), daemon.of(call()))
                 case "good":
-                    daemon.note_good(call())
+                    daemon.note_success(call())
                 case _:
-                    other.merge(daemon.told())
+                    other.merge(daemon.published())
         for _ in range(2):
             for daemon, other in itertools.permutations(daemons, 2):
-                other.merge(daemon.told())
+                other.merge(daemon.published())
         self.assertEqual(len({_held(daemon.of(call())) for daemon in daemons}), 1)
 
 
--- a/packages/calls/tests/test_target_identity.py
+++ b/packages/calls/tests/test_target_identity.py
@@ -113,7 +113,7 @@
             )
             made = 0
             for _ in range(calls):
-                budgets.pay_in("a", 100.0)
+                budgets.deposit("a", 100.0)
                 made += budgets.take("a")
                 await timers.advance(10 / calls)
             return made
@@ -135,7 +135,7 @@
             budgets.charge("a")
         self.assertFalse(budgets.take("a"))
         for _ in range(40):
-            budgets.pay_in("a", 100.0)
+            budgets.deposit("a", 100.0)
         self.assertTrue(budgets.take("a"))
 
     def test_what_was_not_used_is_returned(self) -> None:
--- a/packages/calls/tests/test_target_starts.py
+++ b/packages/calls/tests/test_target_starts.py
@@ -8,7 +8,7 @@
 import anyio
 from call_rig import configuration
 
-from acaciayard_admission import Announcement, Heard, LocalTargets, TargetNews
+from acaciayard_admission import Announcement, AnnouncementResult, LocalTargets, TargetEvent
 from acaciayard_callmodel import Answer, NotRun, OutcomeUnknown
 from acaciayard_membership import Member, MemberState, MemberTable, TargetInfo, TargetState
 from acaciayard_membership._messages import MEMBER_CODEC
@@ -47,7 +47,7 @@
 class TargetStartsTest(unittest.TestCase):
     def setUp(self) -> None:
         self.published: tuple[TargetInfo, ...] = ()
-        self.news: list[TargetNews] = []
+        self.news: list[TargetEvent] = []
         self.timers = ManualTimers()
         self.targets = self.new_daemon()
 
@@ -58,7 +58,7 @@
             traffic=Traffic(),
             host="near-1",
             publish=self.take,
-            tell=self.news.append,
+            on_event=self.news.append,
         )
 
     def take(self, published: tuple[TargetInfo, ...]) -> None:
@@ -96,7 +96,7 @@
         before = self.published
         for state in (TargetState.READY, TargetState.DRAINING):
             late = announcement(FIRST, 41, slots=9, state=state)
-            self.assertIs(self.targets.announce(late), Heard.OLDER_START)
+            self.assertIs(self.targets.announce(late), AnnouncementResult.OLDER_START)
         self.targets.mark_left("t1", born=FIRST)
         self.targets.leave("t1", born=FIRST)
         self.assertEqual(self.published, before)
@@ -105,7 +105,7 @@
     def test_an_older_count_of_the_same_start_changes_nothing(self) -> None:
         self.targets.announce(announcement(FIRST, 40))
         late = announcement(FIRST, 39, slots=9, state=TargetState.DRAINING)
-        self.assertIs(self.targets.announce(late), Heard.OLDER_REPORT)
+        self.assertIs(self.targets.announce(late), AnnouncementResult.OLDER_REPORT)
         self.assertEqual(self.slots_free(), 2)
 
     def test_a_start_after_a_leaving_takes_calls(self) -> None:
@@ -122,7 +122,9 @@
             with self.subTest(born=born):
                 self.targets = self.new_daemon()
                 self.targets.mark_left("t1", born=born)
-                self.assertIs(self.targets.announce(announcement(FIRST, 40)), Heard.LEFT)
+                self.assertIs(
+                    self.targets.announce(announcement(FIRST, 40)), AnnouncementResult.LEFT
+                )
                 self.targets.announce(announcement(SECOND, 1))
                 self.assertEqual(self.slots_free(), 2)
 
@@ -138,7 +140,7 @@
     def test_late_news_of_a_crashed_target_does_not_end_the_one_at_its_address(self) -> None:
         self.targets.announce(announcement(SECOND, 1, name="t2"))
         late = announcement(FIRST, 40, name="t1")
-        self.assertIs(self.targets.announce(late), Heard.ADDRESS_TAKEN)
+        self.assertIs(self.targets.announce(late), AnnouncementResult.ADDRESS_TAKEN)
         self.assertEqual([info.name for info in self.published], ["t2"])
         self.assertEqual(self.slots_free(), 2)
 
@@ -147,7 +149,7 @@
         before = self.published
         for name in ("t1", "t2"):
             heard = self.targets.announce(announcement(0, 50, name=name))
-            self.assertIs(heard, Heard.WITHOUT_START)
+            self.assertIs(heard, AnnouncementResult.WITHOUT_START)
         self.assertEqual(self.published, before)
 
     def test_an_unknown_service_takes_no_place(self) -> None:
@@ -157,24 +159,24 @@
         for name in ("t1", "t2"):
             with self.subTest(name=name):
                 strange = announcement(SECOND, 1, name=name, service="nobody")
-                self.assertIs(self.targets.announce(strange), Heard.UNKNOWN_SERVICE)
+                self.assertIs(self.targets.announce(strange), AnnouncementResult.UNKNOWN_SERVICE)
                 self.assertEqual(self.published, before)
 
     def test_a_clock_that_stepped_back_costs_one_lease(self) -> None:
         """The start after the step looks older: it is heard once the other has lapsed."""
         self.targets.announce(announcement(SECOND, 4))
-        self.assertIs(self.targets.announce(announcement(FIRST, 1)), Heard.OLDER_START)
+        self.assertIs(self.targets.announce(announcement(FIRST, 1)), AnnouncementResult.OLDER_START)
         self.targets.withdraw("t1", "the target no longer announces itself")
-        self.assertIs(self.targets.announce(announcement(FIRST, 2)), Heard.TAKEN)
+        self.assertIs(self.targets.announce(announcement(FIRST, 2)), AnnouncementResult.ACCEPTED)
 
     def test_a_clock_that_stepped_back_after_a_leaving_costs_half_a_minute(self) -> None:
         self.targets.announce(announcement(SECOND, 4))
         self.targets.leave("t1")
         self.targets.withdraw("t1", "the target no longer announces itself")
-        self.assertIs(self.targets.announce(announcement(FIRST, 1)), Heard.LEFT)
+        self.assertIs(self.targets.announce(announcement(FIRST, 1)), AnnouncementResult.LEFT)
         anyio.run(self.timers.advance, 31.0)
-        self.assertIs(self.targets.announce(announcement(SECOND, 5)), Heard.LEFT)
-        self.assertIs(self.targets.announce(announcement(FIRST, 2)), Heard.TAKEN)
+        self.assertIs(self.targets.announce(announcement(SECOND, 5)), AnnouncementResult.LEFT)
+        self.assertIs(self.targets.announce(announcement(FIRST, 2)), AnnouncementResult.ACCEPTED)
 
     def test_each_change_of_belief_is_told(self) -> None:
         self.targets.announce(announcement(FIRST, 40))
--- a/packages/daemon/src/acaciayard_daemon/_build.py
+++ b/packages/daemon/src/acaciayard_daemon/_build.py
@@ -11,7 +11,7 @@
 from attrs import frozen
 from starlette.applications import Starlette
 
-from acaciayard_admission import LocalTargets, RetryBudgets, SuspectNews, Suspects
+from acaciayard_admission import LocalTargets, RetryBudgets, SuspectEvent, Suspects
 from acaciayard_api import ApiContext, ApiServer, ChangeService, Progress, api_application
 from acaciayard_callmodel import OWN_DIALECT
 from acaciayard_calls import CallParts, Claimer, Dispatcher, EntryServer, ServiceLevels
@@ -92,7 +92,9 @@
         self._pause = PauseDetector(self._timers, threshold=_PAUSE_THRESHOLD)
         self._spread: Spread | None = None
         self._members: Membership | None = None
-        self._suspects = Suspects(timers=self._timers, dialect=OWN_DIALECT, tell=self._log_suspect)
+        self._suspects = Suspects(
+            timers=self._timers, dialect=OWN_DIALECT, on_event=self._log_suspect
+        )
 
     # --- hooks between parts ------------------------------------------------------------------
 
@@ -129,7 +131,7 @@
             monotonic=round(self._timers.now(), 6),
         )
 
-    def _log_suspect(self, news: SuspectNews) -> None:
+    def _log_suspect(self, news: SuspectEvent) -> None:
         self._logger.info("suspect", **news.fields())
 
     def _log_member(self, before: Member | None, now: Member) -> None:
--- a/packages/hosted/src/acaciayard_hosted/_build.py
+++ b/packages/hosted/src/acaciayard_hosted/_build.py
@@ -9,13 +9,13 @@
 import structlog
 
 from acaciayard_admission import (
-    CallTold,
     GatePolicy,
     LocalTargets,
+    LoggedCall,
     SharedRetryBudgets,
-    SuspectNews,
+    SuspectEvent,
     Suspects,
-    TargetNews,
+    TargetEvent,
 )
 from acaciayard_calls import CallParts, Dispatcher, EntryServer, ServiceLevels
 from acaciayard_handover import CallServer, call_pool
@@ -70,7 +70,9 @@
 #: No slot is kept free for a higher class: the classes here differ in urgency, not in kind, and a
 #: slot that stands empty answers nobody.  While all wait, no class gets less than a sixteenth of
 #: the slots' time, and calls that others wait for get half of it.
-_GATE_POLICY: Final = GatePolicy(lowest_share=1.0, middle_spare=0, parts=(4, 3, 1), inner_part=8)
+_GATE_POLICY: Final = GatePolicy(
+    lowest_share=1.0, middle_spare=0, weights=(4, 3, 1), inner_weight=8
+)
 
 
 async def build_hosted_daemon(
@@ -90,7 +92,7 @@
     return target.state == TargetState.DRAINING
 
 
-def _told_call(told: CallTold) -> str:
+def _told_call(told: LoggedCall) -> str:
     """A call at work on a target that ended, as a log line names it."""
     return f"{told.request_id} {told.fingerprint}{' blamed' if told.is_blamed else ''}"
 
@@ -131,7 +133,7 @@
         self._suspects = Suspects(
             timers=timers,
             dialect=platform.dialect,
-            tell=self._log_suspect,
+            on_event=self._log_suspect,
         )
 
     def _note_rollout(self, news: RolloutNews) -> None:
@@ -156,7 +158,7 @@
                 )
                 targets.mark_left(target.name, born=target.born)
 
-    def _log_target(self, news: TargetNews) -> None:
+    def _log_target(self, news: TargetEvent) -> None:
         self._log.info(
             "target",
             target=news.name,
@@ -168,7 +170,7 @@
             at_work="; ".join(map(_told_call, news.at_work)) or None,
         )
 
-    def _log_suspect(self, news: SuspectNews) -> None:
+    def _log_suspect(self, news: SuspectEvent) -> None:
         self._log.info("suspect", **news.fields())
 
     def _log_member(self, before: Member | None, now: Member) -> None:
@@ -203,7 +205,7 @@
             policy=_GATE_POLICY,
             suspects=self._suspects,
             is_settled=False,
-            tell=self._log_target,
+            on_event=self._log_target,
         )
         calls = CallServer(
             targets=targets,
