--- a/packages/admission/src/acaciayard_admission/__init__.py
+++ b/packages/admission/src/acaciayard_admission/__init__.py
@@ -2,7 +2,7 @@
 
 from ._budgets import CallerLimiter, RetryBudgets, SharedRetryBudgets, retry_after_header
 from ._gate import Gate, HeldSlot, Reservation
-from ._level_shares import GatePolicy
+from ._line_shares import GatePolicy
 from ._local import LocalExchange
 from ._suspects import ENDS_TO_BAR, SuspectEvent, Suspects
 from ._target import Announcement, LocalTarget, RunningCall
--- a/packages/admission/src/acaciayard_admission/_gate.py
+++ b/packages/admission/src/acaciayard_admission/_gate.py
@@ -16,7 +16,7 @@
 from acaciayard_timers import TimerService
 
 from ._fair_queue import FairQueue
-from ._level_shares import INNER_LEVEL, LEVELS, GatePolicy, LevelShares, level_of
+from ._line_shares import INNER_LEVEL, LEVELS, GatePolicy, LevelShares, level_of
 
 __all__ = ["Gate", "HeldSlot", "Reservation"]
 
--- a/packages/admission/src/acaciayard_admission/_suspects.py
+++ b/packages/admission/src/acaciayard_admission/_suspects.py
@@ -94,7 +94,7 @@
         *,
         timers: TimerService,
         dialect: Dialect = OWN_DIALECT,
-        on_event: Callable[[SuspectEvent], None] = lambda _news: None,
+        on_event: Callable[[SuspectEvent], None] = lambda _event: None,
     ) -> None:
         self._timers = timers
         self._dialect = dialect
@@ -264,8 +264,8 @@
     def published(self) -> tuple[Suspicion, ...]:
         """Return the suspicions to publish: barred requests first, then the newest."""
         newest_first = reversed(self._own.values())
-        gravest = sorted(newest_first, key=lambda s: s.ends < ENDS_TO_BAR)
-        return tuple(gravest[:_MAX_PUBLISHED])
+        barred_first = sorted(newest_first, key=lambda s: s.ends < ENDS_TO_BAR)
+        return tuple(barred_first[:_MAX_PUBLISHED])
 
     # --- expiry -------------------------------------------------------------------------------
 
@@ -278,12 +278,12 @@
     def forget_old(self) -> None:
         """Remove expired suspicions; called periodically."""
         now = self._timers.now()
-        old = [
+        expired = [
             known.suspicion
             for known in self._known.values()
             if now - known.since > _retention_seconds(known.suspicion)
         ]
-        for suspicion in old:
+        for suspicion in expired:
             self._remove(suspicion)
             if suspicion.ends:
                 self._on_event(SuspectEvent(suspicion.fingerprint.hex(), "expired", suspicion.ends))
--- a/packages/admission/src/acaciayard_admission/_target.py
+++ b/packages/admission/src/acaciayard_admission/_target.py
@@ -24,7 +24,7 @@
 )
 
 from ._gate import Gate
-from ._level_shares import GatePolicy
+from ._line_shares import GatePolicy
 from ._starts import Start
 
 __all__ = ["DEFAULT_QUEUE", "Announcement", "LocalTarget", "RunningCall", "TargetConnection"]
--- a/packages/admission/src/acaciayard_admission/_targets.py
+++ b/packages/admission/src/acaciayard_admission/_targets.py
@@ -11,7 +11,7 @@
 from acaciayard_timers import PauseDetector, TimerService
 from acaciayard_wire import Traffic
 
-from ._level_shares import GatePolicy
+from ._line_shares import GatePolicy
 from ._starts import Start, StartRecords
 from ._suspects import Suspects
 from ._target import DEFAULT_QUEUE, Announcement, LocalTarget, RunningCall
@@ -46,7 +46,7 @@
         policy: GatePolicy = GatePolicy(),  # noqa: B008 - frozen
         suspects: Suspects | None = None,
         is_settled: bool = True,
-        on_event: Callable[[TargetEvent], None] = lambda _news: None,
+        on_event: Callable[[TargetEvent], None] = lambda _event: None,
     ) -> None:
         self._on_event = on_event
         self._suspects = suspects or Suspects(timers=timers)
