--- a/packages/admission/src/acaciayard_admission/_budgets.py
+++ b/packages/admission/src/acaciayard_admission/_budgets.py
@@ -42,7 +42,7 @@
     def __init__(self) -> None:
         self._saved: dict[str, float] = {}
 
-    def pay_in(self, service: str, percent: float) -> None:
+    def deposit(self, service: str, percent: float) -> None:
         """Count a call, which earns `percent` hundredths of a retry."""
         saved = self._saved.get(service, _INITIAL_SAVED_RETRIES)
         self._saved[service] = min(_MAX_SAVED_RETRIES, saved + percent / 100)
@@ -111,7 +111,7 @@
         share.refilled_at = now
         return share
 
-    def pay_in(self, service: str, percent: float) -> None:
+    def deposit(self, service: str, percent: float) -> None:
         """Count a call; `percent` is the policy of its route, which may allow fewer retries."""
         share = self._share_of(service)
         earned = min(self._ratio, percent / 100)
@@ -161,11 +161,11 @@
         bucket = self._bucket(limit)
         shortest, longest = _RETRY_AFTER_SECONDS
         if bucket.concurrent >= limit.concurrent:
-            reason = f"{caller!r} has {limit.concurrent} calls open already"
+            reason = f"{caller!r} has {limit.concurrent} calls in flight already"
             return NotRun(reason, shortest, is_overload=True)
         if bucket.tokens < 1:
             wait = (1 - bucket.tokens) / limit.calls_per_second
-            reason = f"{caller!r} asks for more than {limit.calls_per_second:g} calls a second"
+            reason = f"{caller!r} exceeds its limit of {limit.calls_per_second:g} calls a second"
             return NotRun(reason, min(max(wait, shortest), longest), is_overload=True)
         bucket.tokens -= 1
         bucket.concurrent += 1
