--- a/packages/calls/src/acaciayard_calls/_answers.py
+++ b/packages/calls/src/acaciayard_calls/_answers.py
@@ -156,4 +156,4 @@
     async def _next_answer_part(self, plan: Plan, attempt: Attempt) -> BodyPart | End:
         with self._timers.timeout(plan.timeout.idle_s):
             return await attempt.exchange.next_part()
-        raise StreamLostError(f"no data of the response body for {plan.timeout.idle_s:g} s")
+        raise StreamLostError(f"the answer stood still for {plan.timeout.idle_s:g} s")
--- a/packages/calls/src/acaciayard_calls/_call_run.py
+++ b/packages/calls/src/acaciayard_calls/_call_run.py
@@ -59,7 +59,7 @@
         """Abort it, as its result is no longer needed."""
         self.is_over = True
         if self.attempt is not None and not self.done.is_set():
-            self.attempt.abort("the first attempt was answered", is_given_up=True)
+            self.attempt.abort("the first try was answered", is_given_up=True)
 
 
 class CallRun:
@@ -286,9 +286,7 @@
             return
         attempt.is_silent = True
         if not attempt.exchange.is_committed:
-            attempt.abort(
-                f"the host did not acknowledge the call within {_ACKNOWLEDGE_TIMEOUT_S:g} s"
-            )
+            attempt.abort(f"no sign from the host within {_ACKNOWLEDGE_TIMEOUT_S:g} s")
             return
         self._parts.picker.note_silent(attempt.candidate)
         self._start_hedge(self._call)
--- a/packages/calls/src/acaciayard_calls/_caller.py
+++ b/packages/calls/src/acaciayard_calls/_caller.py
@@ -12,9 +12,9 @@
 
 from ._answers import AnswerWriter
 from ._intake import EntryContext
-from ._pipeline import CallerRequest, RequestPipeline
 from ._refusals import RejectedError, error_bytes
 from ._request_runs import ConnectionParts, RequestRuns
+from ._turns import CallerRequest, RequestPipeline
 
 __all__ = ["CallerConnection"]
 
@@ -23,7 +23,7 @@
 _LINGER_S: Final = 1.0
 _LINGER_BYTES: Final = 4 * 1024 * 1024
 #: Reason of a request that did not run, or whose response was not sent, as the connection closed.
-_CLOSED_BEFORE_TURN: Final = "the response to an earlier request closed the connection"
+_CLOSED_BEFORE_TURN: Final = "an answer before it closed the connection"
 
 
 class CallerConnection:
@@ -77,7 +77,7 @@
             return
         if self._reader.is_mid_head:
             with contextlib.suppress(StreamLostError):
-                timeout_error = HttpError(408, "the request head did not arrive in time")
+                timeout_error = HttpError(408, "the request came too slowly")
                 self._stream.send_nowait(error_bytes(timeout_error, may_have_run=False))
         self._stream.close()
 
--- a/packages/calls/src/acaciayard_calls/_claimer.py
+++ b/packages/calls/src/acaciayard_calls/_claimer.py
@@ -190,7 +190,7 @@
                 answer = await self._ask(coordinator, request, ClaimAnswer)
                 if answer is not None:
                     return answer
-            return ClaimAnswer(False, b"", "", "no coordinator of the key answers")
+            return ClaimAnswer(False, b"", "", "no home of the key answers")
         return ClaimAnswer(False, b"", "", f"no answer within {_CLAIM_TIMEOUT_S:g} s")
 
     def finish(self, claimed: Claimed, answer: Answer | NotRun | None) -> None:
--- a/packages/calls/src/acaciayard_calls/_claims.py
+++ b/packages/calls/src/acaciayard_calls/_claims.py
@@ -139,7 +139,7 @@
                 return ClaimAnswer(granted=False, holder=b"", host="", reason=pending.failure)
             holder = self._table.holder(request.key)
         if holder is None:
-            return ClaimAnswer(False, b"", "", "the claim was released before it was appended")
+            return ClaimAnswer(False, b"", "", "the claim was released before it was made")
         return ClaimAnswer(holder.claim == request.claim, holder.claim, holder.host, "")
 
     async def release(self, request: ReleaseRequest) -> None:
@@ -154,7 +154,7 @@
 
     async def _write_batch(self) -> None:
         batch, self._pending = self._pending[:_MAX_BATCH], self._pending[_MAX_BATCH:]
-        failure = "the daemon stopped waiting for the log"
+        failure = "this daemon gave up while it asked the log"
         try:
             failure = await self._append_batch(batch)
         finally:
@@ -201,7 +201,7 @@
                 case Slice(records, _) if records:
                     continue
                 case Slice():
-                    return "the log has lost acknowledged records"
+                    return "the log lost records that it had confirmed"
                 case Unavailable(reason):
                     return reason
         self._is_current = True
@@ -237,7 +237,7 @@
             if seen:
                 self._is_current = True
                 return ""
-        return f"unknown whether the claim is in the log: {reason}"
+        return f"nobody can tell whether the claim is in the log: {reason}"
 
 
 def _pack(identity: bytes, requests: list[ClaimRequest | ReleaseRequest]) -> bytes:
--- a/packages/calls/src/acaciayard_calls/_entry.py
+++ b/packages/calls/src/acaciayard_calls/_entry.py
@@ -30,7 +30,7 @@
 from ._caller import CallerConnection
 from ._claimer import Claimer
 from ._dispatcher import Dispatcher
-from ._first_request import FirstRequestEstimator
+from ._first_asked import FirstRequestEstimator
 from ._intake import EntryContext
 from ._levels import ServiceLevels
 
--- a/packages/calls/src/acaciayard_calls/_identity.py
+++ b/packages/calls/src/acaciayard_calls/_identity.py
@@ -85,11 +85,11 @@
         if parent is not None:
             return Identity(parent.workspace, is_checked=True, is_nested=True)
         if targets.is_nested(request_id) and not plan.route.public:
-            reason = "the parent of this nested call is not running on this host"
+            reason = "the call for which it is made does not run here"
             raise RejectedError(503, NotRun(reason, _NO_PARENT_RETRY_AFTER_S))
     if plan.route.public:
         return _UNNAMED
-    reason = "the key belongs to no workspace" if key else "the key of a workspace is required"
+    reason = "no workspace holds this key" if key else "a key of a workspace is needed"
     raise RejectedError(401, NotRun(reason, _NO_KEY_RETRY_AFTER_S))
 
 
--- a/packages/calls/src/acaciayard_calls/_intake.py
+++ b/packages/calls/src/acaciayard_calls/_intake.py
@@ -35,7 +35,7 @@
 
 from ._claimer import Claimer
 from ._dispatcher import Dispatcher
-from ._first_request import FirstRequestEstimator
+from ._first_asked import FirstRequestEstimator
 from ._identity import Identity
 from ._levels import ServiceLevels
 from ._refusals import RejectedError
@@ -107,7 +107,7 @@
     """The plan for a request; raises `RejectedError` or `HttpError`."""
     hosts = [value for name, value in head.headers if name == b"host"]
     if len(hosts) != 1 and not (head.is_http10 and not hosts):
-        raise HttpError(400, "a request must have exactly one Host header")
+        raise HttpError(400, "a request needs exactly one Host header")
     reason = context.not_serving()
     router = context.router
     if reason or router is None:
--- a/packages/calls/src/acaciayard_calls/_request_runs.py
+++ b/packages/calls/src/acaciayard_calls/_request_runs.py
@@ -43,9 +43,9 @@
     plan_for,
     requested_timeout,
 )
-from ._pipeline import CallerRequest, RequestPipeline
 from ._refusals import RejectedError
-from ._slot_deadlines import nested, start_by
+from ._turns import CallerRequest, RequestPipeline
+from ._waits import nested, start_by
 
 __all__ = ["ConnectionParts", "RequestRuns"]
 
@@ -220,7 +220,7 @@
                     size += len(data)
                     if size > self._context.max_buffered_body:
                         limit = self._context.max_buffered_body
-                        raise HttpError(413, f"a body without a length is limited to {limit} bytes")
+                        raise HttpError(413, f"a body without a length may have {limit} bytes")
                 case End():
                     return b"".join(parts)
 
@@ -231,7 +231,7 @@
             if isinstance(part, End):
                 request.body_unread = False
             return part
-        raise HttpError(408, f"no data of the request body for {plan.timeout.idle_s:g} s")
+        raise HttpError(408, f"the body stood still for {plan.timeout.idle_s:g} s")
 
     # --- buffered bodies ----------------------------------------------------------------------
 
@@ -343,7 +343,7 @@
             case NotRun() as refusal:
                 await self._answers.send_refusal(head, refusal, 503)
             case None:
-                reason = "a call with this key was made before and its response is not available"
+                reason = "a call with this key was made before, and its answer is not known"
                 await self._answers.send_unknown(head, OutcomeUnknown(reason), 409)
         return False
 
--- a/packages/calls/tests/ablation.py
+++ b/packages/calls/tests/ablation.py
@@ -24,7 +24,7 @@
 from acaciayard_admission import Gate
 from acaciayard_callmodel import NotRun
 from acaciayard_calls import _call_run as call_run
-from acaciayard_calls._first_request import FirstRequestEstimator
+from acaciayard_calls._first_asked import FirstRequestEstimator
 from acaciayard_routing import Picker
 from acaciayard_routing import _offers as offers
 from acaciayard_routing import _picker as picker
--- a/packages/calls/tests/load_model.py
+++ b/packages/calls/tests/load_model.py
@@ -26,8 +26,8 @@
 from acaciayard_admission import Gate, GatePolicy, SharedRetryBudgets, Suspects
 from acaciayard_callmodel import OWN_DIALECT, Call, CallWatch, NotRun
 from acaciayard_calls import Answered, Dispatcher
-from acaciayard_calls._first_request import FirstRequestEstimator
-from acaciayard_calls._slot_deadlines import nested, start_by
+from acaciayard_calls._first_asked import FirstRequestEstimator
+from acaciayard_calls._waits import nested, start_by
 from acaciayard_membership import Member, MemberState, MemberTable, TargetInfo
 from acaciayard_membership._messages import MEMBER_CODEC
 from acaciayard_resources import PRIORITIES, Invariants, RetryPolicy, Route, Service, TimeoutPolicy
--- a/packages/calls/tests/test_first_asked.py
+++ b/packages/calls/tests/test_first_asked.py
@@ -6,7 +6,7 @@
 
 import anyio
 
-from acaciayard_calls._first_request import FirstRequestEstimator
+from acaciayard_calls._first_asked import FirstRequestEstimator
 from acaciayard_timers import ManualTimers
 
 #: Deadlines of first calls in seconds: callers differ by a sixth.
--- a/packages/calls/tests/test_pipelined_streams.py
+++ b/packages/calls/tests/test_pipelined_streams.py
@@ -17,9 +17,9 @@
 from acaciayard_callmodel import Answer, Call, CallWatch
 from acaciayard_calls import Answered, ServiceLevels
 from acaciayard_calls._caller import CallerConnection
-from acaciayard_calls._first_request import FirstRequestEstimator
+from acaciayard_calls._first_asked import FirstRequestEstimator
 from acaciayard_calls._intake import EntryContext
-from acaciayard_calls._pipeline import MAX_PIPELINED_REQUESTS
+from acaciayard_calls._turns import MAX_PIPELINED_REQUESTS
 from acaciayard_http1 import Limits
 from acaciayard_resources import Route, Service
 from acaciayard_routing import Plan, Router
--- a/packages/calls/tests/test_pipelining.py
+++ b/packages/calls/tests/test_pipelining.py
@@ -15,7 +15,7 @@
 from acaciayard_calls import EntryServer, ServiceLevels
 from acaciayard_calls._identity import ANYONE, Identity
 from acaciayard_calls._intake import RejectedError
-from acaciayard_calls._pipeline import (
+from acaciayard_calls._turns import (
     MAX_BUFFERED_BYTES,
     MAX_PIPELINED_REQUESTS,
     CallerRequest,
