--- a/packages/rollouts/src/acaciayard_rollouts/__init__.py
+++ b/packages/rollouts/src/acaciayard_rollouts/__init__.py
@@ -1,15 +1,15 @@
-"""Moves a service to a new version with bounded exposure, and takes it back when it is bad.
+"""Canary rollouts of service versions with bounded exposure and automatic rollback.
 
-An order names a service, a version and a time.  While it runs, each daemon sends the new version a
-small share of its own calls and tells what it sees of both versions to the daemon that leads.
-That one turns a version back as soon as it is shown to be worse; else it has all calls moved, waits
-until nothing runs at the old version any more, and writes the success.
+An order names a service, a version and a duration. While its rollout runs, each daemon sends a
+small share of its own calls to the new version, and reports the results of both versions to the
+leading daemon. The leader rolls the version back as soon as it is shown to be worse. Otherwise it
+moves all calls, waits until no call runs at the old version any more, and writes the success.
 
-    book       what this daemon may send where        (`RolloutBook`, asked at each call)
-    exposure   a bound that each keeps by itself       (`ExposureBudget`)
-    evidence   what was seen, added up                 (`Tally`, `Evidence`)
-    judges     whether the new version is worse        (`SequentialJudge`)
-    conductor  decisions, and the status in the store  (`Conductor`)
+    book       versions that this daemon's calls may use  (`RolloutBook`, asked for each call)
+    exposure   exposure limit, enforced per daemon        (`ExposureBudget`)
+    evidence   aggregated results of calls                (`Tally`, `Evidence`)
+    judges     whether the new version is worse           (`SequentialJudge`)
+    conductor  decisions, and the status in the store     (`Conductor`)
 """
 
 from ._book import (
@@ -26,7 +26,7 @@
 from ._evidence import Evidence, RouteEvidence, SideCounts, Tally, bucket_of, evidence_of
 from ._exposure import ExposureBudget
 from ._fleet import Fleet, MemberStart
-from ._judges import LEAST_BASE, Judge, Regression, SequentialJudge, slow_bucket
+from ._judges import MIN_BASE_ANSWERS, Judge, Regression, SequentialJudge, slow_bucket
 from ._orders import RolloutOrder, RolloutStatus, StatusFound, StatusLost, StatusStore
 from ._states import (
     ROLLOUT_MESSAGES,
@@ -51,7 +51,7 @@
     "ExposureBudget",
     "Fleet",
     "Judge",
-    "LEAST_BASE",
+    "MIN_BASE_ANSWERS",
     "MemberStart",
     "Phase",
     "Regression",
--- a/packages/rollouts/src/acaciayard_rollouts/_book.py
+++ b/packages/rollouts/src/acaciayard_rollouts/_book.py
@@ -1,4 +1,4 @@
-"""What one daemon may send to which version, and what it has seen of both."""
+"""The rollout state of one daemon: versions that calls may use, and results of both."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 __all__ = [
     "ANY_VERSION",
     "BASE_LEASE",
-    "HELD_FOR",
+    "ORDER_HOLD_SECONDS",
     "NEW_LEASE",
     "NO_ROLLOUTS",
     "RolloutBook",
@@ -27,40 +27,40 @@
     "Versions",
 ]
 
-#: Seconds after the last word of where a rollout stands for which calls may still go to the new
-#: version.  The word comes each 0.4 s; a version that was found bad must get nothing after 5 s,
-#: also from a daemon that the finding does not reach.
+#: Seconds after the last update on a rollout for which calls may still go to the new version.
+#: Updates come every 0.4 s; a version found to be bad must get no calls after 5 s, even from a
+#: daemon that doesn't receive the rollback.
 NEW_LEASE: Final = 1.5
-#: The same for the old version: one that nobody reaches must have stopped before the old targets
-#: are told to stop.  A daemon that leads is replaced within some 2 s when it fails.
+#: The same for the old version: an unreachable daemon must have stopped using it before the old
+#: targets are told to stop. A failed leader is replaced within about 2 s.
 BASE_LEASE: Final = 4.0
-#: Seconds for which an order that is first heard of in a new era of the store waits for the one
-#: that is known: operators write again what a copy lacks, and until then it shows an earlier one.
-HELD_FOR: Final = 4.0
-#: Share of the calls that a version on trial gets, of the exposure that operators allow: little
-#: while it proves itself, so that most is left for the moment at which it must carry all.
+#: Seconds for which an order first seen in a new era of the store waits for the known order.
+#: Operators rewrite what a restored copy lacks, and until then the copy shows an earlier order.
+ORDER_HOLD_SECONDS: Final = 4.0
+#: Share of the allowed exposure that a version on trial uses. It is small so that most of the
+#: exposure is left for the moment at which the new version must take all calls.
 _TRIAL_SHARE: Final = 0.2
-#: Seconds after which a caller may come back that came at the one moment when neither version
-#: may take its call: the next word on the rollout comes within so long.
+#: Retry delay, in seconds, of a caller whose call neither version may take for a moment; the next
+#: update on the rollout arrives within this time.
 _RETRY_AFTER: Final = 0.4
 
 
 @frozen
 class Versions:
-    """Which versions of a service a call may go to.
+    """The versions of a service that a call may use.
 
-    `ANY_VERSION` stands for all that run.
+    `ANY_VERSION` allows all running versions.
     """
 
-    #: The only version allowed, empty for any that is not `excluded`.
+    #: The only version allowed; empty if all but `excluded` are.
     only: str = ""
-    #: A version that is not allowed, empty for none.
+    #: A version that is not allowed; empty for none.
     excluded: str = ""
-    #: Which side of a rollout they are on, `None` where none is under way.
+    #: The side of a rollout that these versions are on; `None` without a running rollout.
     side: Side | None = None
-    #: Why no version is allowed at present, empty where one is.
+    #: Why no version is allowed at present; empty if one is.
     refusal: str = ""
-    #: Seconds after which a caller that was refused may come back.
+    #: Seconds after which a refused caller should retry.
     retry_after: float = _RETRY_AFTER
 
     def admits(self, version: str) -> bool:
@@ -72,58 +72,58 @@
         return not version or version != self.excluded
 
 
-#: Nothing is known of a rollout of the service.
+#: No rollout of the service is known.
 ANY_VERSION: Final = Versions()
 
 
 @frozen
 class RolloutNews:
-    """What changes the belief of this daemon in a rollout, for logs."""
+    """A change of a rollout as this daemon knows it, for logs."""
 
-    #: The rollout as it is believed now.
+    #: The rollout after the change.
     rollout: Rollout
-    #: Where the word came from: `store`, `member` or `verdict`.
+    #: Origin of the change: `store`, `member` or `verdict`.
     source: str
-    #: Why, where this daemon has decided it; empty elsewhere.
+    #: Why this daemon decided so; empty if another one did.
     reason: str = ""
 
 
 @define(eq=False)
 class _Entry:
-    """One rollout here."""
+    """Local state of one rollout."""
 
-    #: Where it stands.
+    #: The rollout as this daemon knows it.
     rollout: Rollout
-    #: What may be sent to the new version from here.
+    #: Limits the calls that this daemon sends to the new version.
     budget: ExposureBudget
-    #: When the order was given, as far as is known, by the timer service.
+    #: When the order was given, as far as is known, on the clock of the timer service.
     started: float
-    #: When word of it came last, by the timer service.
-    heard: float
-    #: What was seen of both versions.
+    #: When the last update arrived, on the clock of the timer service.
+    updated_at: float
+    #: Results of calls to both versions.
     tally: Tally = field(factory=Tally)
-    #: Calls from here that run at the old version.
+    #: Calls from this daemon that run at the old version.
     base_running: int = 0
-    #: Positions that the order had in earlier eras of the store.
-    former: set[int] = field(factory=set)
-    #: Whether this daemon knew of an order before it, so that word of an earlier position that is
-    #: not in `former` is about that one.
+    #: Positions of the order in earlier eras of the store.
+    earlier_positions: set[int] = field(factory=set)
+    #: Whether this daemon knew an order before this one. An update that names an earlier position
+    #: not in `earlier_positions` is then about that order.
     is_successor: bool = False
 
     def is_about(self, rollout: Rollout) -> bool:
-        """Whether word with an earlier position is about this order all the same."""
-        if rollout.order in self.former:
+        """Whether an update that names an earlier position is still about this order."""
+        if rollout.order in self.earlier_positions:
             return True
-        return not self.is_successor and self.rollout.says_the_same_as(rollout)
+        return not self.is_successor and self.rollout.is_rewrite_of(rollout)
 
-    def move_to(self, position: int) -> None:
-        """The order stands at a later position now; all that is known of it holds."""
-        self.former.add(self.rollout.order)
+    def set_position(self, position: int) -> None:
+        """Set the order's position to a later one and keep all other state."""
+        self.earlier_positions.add(self.rollout.order)
         self.rollout = self.rollout.with_changes(order=position)
 
 
 class RolloutRun:
-    """A call that runs at a target of one of two versions."""
+    """A call that runs at a target of one of the two versions."""
 
     def __init__(
         self,
@@ -151,16 +151,16 @@
             entry.base_running += 1
 
     def end_refused(self) -> None:
-        """No target has had the call."""
+        """End a call that no target has received."""
         if self._finish() and self._side is Side.NEW:
             self._entry.budget.give_back()
 
     def end_untold(self) -> None:
-        """A target may have had the call, and nothing can be said of how it did."""
+        """End a call that a target may have received, without a result for its version."""
         self._finish()
 
     def end(self, *, is_bad: bool) -> None:
-        """A target has answered, or failed to."""
+        """End a call that a target has answered or failed to answer."""
         if self._finish():
             seconds = None if self._is_cold else self._timers.now() - self._started
             self._entry.budget.note_answer()
@@ -169,7 +169,7 @@
             )
 
     def _finish(self) -> bool:
-        """Whether the call was not over before."""
+        """Mark the call as ended and return whether it was still running."""
         if self._is_over:
             return False
         self._is_over = True
@@ -180,10 +180,9 @@
 
 
 class RolloutBook:
-    """Where rollouts stand, as far as this daemon knows, and its part in them.
+    """The rollouts as this daemon knows them, and the state of its own calls.
 
     Example:
-
         versions = book.versions("quotes")          # ANY_VERSION without a rollout
         if versions.admits(target.version): ...
         run = book.begin("quotes", "quote-lookup", version="v2", host="near-1")
@@ -205,16 +204,17 @@
         self._seed = seed or random.Random()
         self._tell = tell
         self._entries: dict[str, _Entry] = {}
-        #: Orders of a new era that a member told of and that may be older, with the time of that.
-        self._doubts: dict[str, tuple[int, float]] = {}
-        #: Service, offset and version of orders that others have followed.
-        self._past: set[tuple[str, int, str]] = set()
+        #: Possibly older orders of a new era that a member has sent, with the time of the first
+        #: update.
+        self._unconfirmed: dict[str, tuple[int, float]] = {}
+        #: Service, offset and version of orders that were followed by another order.
+        self._superseded: set[tuple[str, int, str]] = set()
 
-    # --- where rollouts stand -----------------------------------------------------------------
+    # --- rollout state ----------------------------------------------------------------------------
 
     @property
     def all(self) -> tuple[Rollout, ...]:
-        """All rollouts that are known, each with its present age."""
+        """All known rollouts with their present age."""
         now = self._timers.now()
         return tuple(
             entry.rollout.with_changes(age_s=max(0.0, now - entry.started))
@@ -222,7 +222,7 @@
         )
 
     def find(self, service: str) -> Rollout | None:
-        """The newest rollout of a service, `None` where none is known."""
+        """Return the newest rollout of a service, or `None` if none is known."""
         entry = self._entries.get(service)
         if entry is None:
             return None
@@ -231,28 +231,28 @@
 
     @property
     def knows_orders(self) -> bool:
-        """Whether operators move services by orders here; elsewhere versions mean nothing."""
+        """Whether operators give rollout orders on this platform; if not, versions are ignored."""
         return self._share > 0
 
     @property
     def running(self) -> int:
-        """Rollouts that are not decided."""
+        """Number of undecided rollouts."""
         return sum(entry.rollout.is_running for entry in self._entries.values())
 
     @property
     def exposed(self) -> int:
-        """Calls that were sent from here to versions on trial, by the newest order of each."""
+        """Calls that this daemon sent to new versions, over the newest order of each service."""
         return sum(entry.budget.spent for entry in self._entries.values())
 
     def merge(self, rollouts: Iterable[Rollout], *, source: str, reason: str = "") -> None:
-        """Take word of where rollouts stand; older word changes nothing and renews no lease."""
+        """Merge updates on rollouts; an outdated one changes nothing and renews no lease."""
         for rollout in rollouts:
             entry = self._entries.get(rollout.service)
-            if entry is not None and self._is_from_before(rollout, entry):
+            if entry is not None and self._is_stale_order(rollout, entry):
                 continue
-            if entry is not None and self._is_in_doubt(rollout, entry):
+            if entry is not None and self._is_unconfirmed(rollout, entry):
                 continue
-            self._doubts.pop(rollout.service, None)
+            self._unconfirmed.pop(rollout.service, None)
             if entry is None or self._is_later(rollout, entry):
                 self._begin_order(rollout, source, reason)
             else:
@@ -260,94 +260,96 @@
 
     @staticmethod
     def _is_later(rollout: Rollout, entry: _Entry) -> bool:
-        """Whether word is about an order that came after the one that is known."""
+        """Whether an update is about an order later than the known one."""
         known = entry.rollout
-        return rollout.order > known.order and not rollout.says_the_same_as(known)
+        return rollout.order > known.order and not rollout.is_rewrite_of(known)
 
-    def _is_from_before(self, rollout: Rollout, entry: _Entry) -> bool:
-        """Whether word that a copy of the store has brought back is about an order of before."""
+    def _is_stale_order(self, rollout: Rollout, entry: _Entry) -> bool:
+        """Whether an update is about a superseded order that a restored store shows again."""
         known = entry.rollout
         return (
             era_of(rollout.order) != era_of(known.order)
-            and not rollout.says_the_same_as(known)
-            and self.is_past(rollout.service, rollout.order, rollout.version)
+            and not rollout.is_rewrite_of(known)
+            and self.is_superseded(rollout.service, rollout.order, rollout.version)
         )
 
-    def _is_in_doubt(self, rollout: Rollout, entry: _Entry) -> bool:
-        """Whether the teller may have read an older order from a copy, and know of no later one.
+    def _is_unconfirmed(self, rollout: Rollout, entry: _Entry) -> bool:
+        """Whether the sender may have read an older order from a copy without knowing a later one.
 
-        One that knows the order which is known here says so: its word holds at once.
+        An update whose sender knows the order that is known here names it in `follows`, and applies
+        at once.
         """
         known = entry.rollout
         if era_of(rollout.order) == era_of(known.order) or not self._is_later(rollout, entry):
             return False
-        if rollout.follows >= known.order or rollout.follows in entry.former:
+        if rollout.follows >= known.order or rollout.follows in entry.earlier_positions:
             return False
         now = self._timers.now()
-        order, since = self._doubts.setdefault(rollout.service, (rollout.order, now))
+        order, since = self._unconfirmed.setdefault(rollout.service, (rollout.order, now))
         if order != rollout.order:
-            self._doubts[rollout.service] = (rollout.order, now)
+            self._unconfirmed[rollout.service] = (rollout.order, now)
             return True
-        return now - since < HELD_FOR
+        return now - since < ORDER_HOLD_SECONDS
 
     def _begin_order(self, rollout: Rollout, source: str, reason: str) -> None:
         now = self._timers.now()
         before = self._entries.get(rollout.service)
         if before is not None:
-            positions = before.former | {before.rollout.order}
-            self._past |= {
+            positions = before.earlier_positions | {before.rollout.order}
+            self._superseded |= {
                 (rollout.service, offset_of(p), before.rollout.version) for p in positions
             }
         self._entries[rollout.service] = _Entry(
             rollout,
             ExposureBudget(self._share),
             started=now - rollout.age_s,
-            heard=now,
+            updated_at=now,
             is_successor=before is not None,
         )
         self._tell(RolloutNews(rollout, source, reason))
 
     def _merge_known(self, entry: _Entry, rollout: Rollout, source: str, reason: str) -> None:
-        """Take word of an order that is known, whatever position the teller knows it by."""
+        """Merge an update on a known order, whichever position of the order the sender uses."""
         now = self._timers.now()
         if rollout.order > entry.rollout.order:
             before = entry.rollout
-            entry.move_to(rollout.order)
-            moved = f"written again in era {era_of(rollout.order)} of the store"
+            entry.set_position(rollout.order)
+            rewrite_reason = f"written again in era {era_of(rollout.order)} of the store"
             if rollout.rank <= before.with_changes(order=rollout.order).rank:
-                self._tell(RolloutNews(entry.rollout, source, moved))
+                self._tell(RolloutNews(entry.rollout, source, rewrite_reason))
         elif rollout.order < entry.rollout.order and entry.is_about(rollout):
-            entry.former.add(rollout.order)
+            entry.earlier_positions.add(rollout.order)
             rollout = rollout.with_changes(order=entry.rollout.order)
         if rollout.rank < entry.rollout.rank:
             return
-        entry.heard = now
+        entry.updated_at = now
         entry.started = min(entry.started, now - rollout.age_s)
         if rollout.rank > entry.rollout.rank:
             base = entry.rollout.base or rollout.base
             entry.rollout = rollout.with_changes(base=base)
             self._tell(RolloutNews(rollout, source, reason))
 
-    def is_past(self, service: str, order: int, version: str) -> bool:
+    def is_superseded(self, service: str, order: int, version: str) -> bool:
         """Whether an order of this version at this offset was followed by another one, in any era.
 
-        What a store has kept through a change of its era stands where it stood.
+        Records that a store keeps when its era changes stay at their offsets.
         """
-        return (service, offset_of(order), version) in self._past
+        return (service, offset_of(order), version) in self._superseded
 
     def former_positions(self, service: str, order: int) -> frozenset[int]:
-        """Positions that the newest order of a service had in earlier eras, where it is `order`."""
+        """Positions in earlier eras of a service's newest order, if that is `order`."""
         entry = self._entries.get(service)
         if entry is None or entry.rollout.order != order:
             return frozenset()
-        return frozenset(entry.former)
+        return frozenset(entry.earlier_positions)
 
-    # --- calls --------------------------------------------------------------------------------
+    # --- calls ------------------------------------------------------------------------------------
 
     def versions(self, service: str) -> Versions:
-        """The versions that the next call to a service may go to.
+        """The versions that the next call to a service may use.
 
-        A call that a version on trial may have, but finds no target of it, goes to the old one.
+        A call that may go to the version on trial falls back to the old version if no target is
+        found.
         """
         if not self._entries:
             return ANY_VERSION
@@ -360,20 +362,20 @@
                 return Versions(only=rollout.version)
             case Phase.ROLLED_BACK:
                 return _base_of(rollout)
-        silence = self._timers.now() - entry.heard
-        if silence > BASE_LEASE:
+        since_update = self._timers.now() - entry.updated_at
+        if since_update > BASE_LEASE:
             return Versions(refusal="this daemon has no word of the rollout of the service")
-        may_try = silence <= NEW_LEASE and entry.budget.has_room
+        may_use_new = since_update <= NEW_LEASE and entry.budget.has_room
         if rollout.stage == Stage.FULL:
-            if may_try:
+            if may_use_new:
                 return Versions(only=rollout.version, side=Side.NEW)
             return Versions(refusal="the rollout of the service is about to be decided")
-        if may_try and self._seed.random() < _TRIAL_SHARE * self._share:
+        if may_use_new and self._seed.random() < _TRIAL_SHARE * self._share:
             return Versions(only=rollout.version, side=Side.NEW)
         return _base_of(rollout)
 
     def base_versions(self, service: str) -> Versions:
-        """Those for a call that found no target of the version on trial."""
+        """The versions for a call that found no target of the version on trial."""
         entry = self._entries.get(service)
         if entry is None or entry.rollout.stage == Stage.FULL:
             return self.versions(service)
@@ -382,10 +384,10 @@
     def begin(
         self, service: str, route: str, *, version: str, host: str, is_cold: bool = False
     ) -> RolloutRun | None:
-        """A call goes to a target; `None` where its service is not moving.
+        """Register a call to a target; return `None` if no rollout of its service is running.
 
-        What is sent is counted here and in no other place, second tries and repeats as well.  That
-        a target is slow which `is_cold` after its start says nothing of its version.
+        All exposure is counted here, including retries and repeated calls. With `is_cold`, set for
+        a target that has just started, the latency of the call is not counted.
         """
         entry = self._entries.get(service)
         if entry is None or not entry.rollout.is_running:
@@ -393,10 +395,10 @@
         side = Side.NEW if version == entry.rollout.version else Side.BASE
         return RolloutRun(entry, side, route, host, self._timers, is_cold=is_cold)
 
-    # --- what is told -------------------------------------------------------------------------
+    # --- reports ----------------------------------------------------------------------------------
 
     def reports(self, host: str, incarnation: int) -> tuple[RolloutReport, ...]:
-        """What this daemon has seen of each rollout that is under way."""
+        """Reports of this daemon on all running rollouts."""
         return tuple(
             RolloutReport(
                 host=host,
@@ -415,11 +417,11 @@
         )
 
 
-#: For daemons whose platform knows no rollouts.
+#: For daemons on platforms without rollouts.
 NO_ROLLOUTS: Final = RolloutBook(timers=EventLoopTimers(), exposure_share=0.0)
 
 
 def _base_of(rollout: Rollout) -> Versions:
-    """The version that ran before, or where that is not known all but the one of the order."""
+    """The version that ran before; if that is unknown, all but the version of the order."""
     side = Side.BASE if rollout.is_running else None
     return Versions(only=rollout.base, excluded=rollout.version, side=side)
--- a/packages/rollouts/src/acaciayard_rollouts/_case.py
+++ b/packages/rollouts/src/acaciayard_rollouts/_case.py
@@ -1,4 +1,4 @@
-"""What a conductor knows of one rollout besides what all daemons know."""
+"""Leader-side state of one rollout that is not shared with all daemons."""
 
 from __future__ import annotations
 
@@ -12,31 +12,31 @@
 
 @define(eq=False)
 class RolloutCase:
-    """What the conductor knows of a rollout besides what all know."""
+    """State of a rollout that only the conductor keeps."""
 
-    #: Reports by daemon and start.
+    #: Latest report of each process lifetime of a daemon.
     reports: dict[MemberStart, RolloutReport] = field(factory=dict)
-    #: Daemons that send nothing to the old version any more and have nothing running there, with
-    #: the time of their last report.
-    sealed: dict[MemberStart, float] = field(factory=dict)
-    #: When all calls were moved, as far as this daemon knows.
+    #: Daemons that send no calls to the old version and have none running there, with the time of
+    #: their last report.
+    drained: dict[MemberStart, float] = field(factory=dict)
+    #: When all calls were moved, as far as this daemon knows; 0 if it doesn't know.
     full_since: float = 0.0
-    #: Phase that was written to the store, as far as is known.
+    #: Phase last known to be in the store.
     written: Phase | None = None
-    #: The end that the store has acknowledged; it holds also where the store has lost it since.
+    #: Final phase that the store acknowledged, even if the store has lost it since.
     acknowledged: Phase | None = None
 
     def adopt(self, earlier: RolloutCase) -> None:
-        """Take over what was known of the order at its position in an earlier era."""
+        """Merge the state that was kept under the order's position in an earlier era."""
         for start, report in earlier.reports.items():
-            self.take(start, report)
-        for start, when in earlier.sealed.items():
-            self.sealed[start] = max(when, self.sealed.get(start, when))
+            self.record_report(start, report)
+        for start, when in earlier.drained.items():
+            self.drained[start] = max(when, self.drained.get(start, when))
         self.full_since = earlier.full_since or self.full_since
         self.acknowledged = earlier.acknowledged or self.acknowledged
 
-    def take(self, start: MemberStart, report: RolloutReport) -> None:
-        """Counts only grow, so the greatest report of each start holds."""
-        before = self.reports.get(start)
-        if before is None or report.total + report.spent >= before.total + before.spent:
+    def record_report(self, start: MemberStart, report: RolloutReport) -> None:
+        """Keep the report with the highest counts of each process lifetime, as counts only grow."""
+        previous = self.reports.get(start)
+        if previous is None or report.total + report.spent >= previous.total + previous.spent:
             self.reports[start] = report
--- a/packages/rollouts/src/acaciayard_rollouts/_conductor.py
+++ b/packages/rollouts/src/acaciayard_rollouts/_conductor.py
@@ -1,8 +1,8 @@
-"""Leads rollouts: takes orders, adds up what was seen, decides, and writes the status.
+"""Leads rollouts: accepts orders, aggregates reports, decides, and writes the status.
 
-Each daemon has a conductor, and only that of the daemon that leads acts.  It keeps nothing that is
-lost with it: where rollouts stand is known to all, counts only grow and are reported again, and
-what excludes each other is decided by conditional writes to the store.
+Each daemon has a conductor, and only that of the leading daemon acts. A conductor can be lost
+without harm: all daemons know the rollouts, counts only grow and are reported again, and
+conditional writes to the store exclude conflicting decisions.
 """
 
 from __future__ import annotations
@@ -26,33 +26,34 @@
 
 __all__ = ["Conductor"]
 
-#: Part of an order's time after which all calls are moved, where nothing is held against the
-#: version.  Every daemon may then send a tenth of what it has sent in all, less what the trial
-#: took: with 14 s, 0.9 s of all its calls, about what the last calls at the old version take.
-_FULL_AT: Final = 0.78
-#: Part of an order's time at which it is given up where it is not decided.
-_END_AT: Final = 0.97
-#: Answers of the new version before all calls are moved: at odds of 1,000 a version that fails one
-#: call in four is found after 12 to 20.
-_LEAST_ANSWERS: Final = 20
-#: Calls of the service below which fewer answers have to do.
-_FEW_CALLS: Final = 300
-#: Part of an order's time after which a few answers have to do for a service with little traffic.
-#: What such a version may still do is bounded by its exposure.
-_LATE_AT: Final = 0.85
-_LEAST_LATE: Final = 5
-#: Seconds for which the new version has all calls before its success is written, beyond the time
-#: in which nine in ten calls are answered: a version that is bad under load shows it by then.
-_FULL_FOR: Final = 0.4
-#: Slots of the new version, of those of the old one, from which it can carry the load.
-_ROOM: Final = 0.8
-#: Seconds between two tries at the store.
-_RETRY: Final = 0.2
-#: Tries of one decision at the store before the next look at the rollout.
-_TRIES: Final = 5
-#: Writes that move the end of the statuses beyond the positions of an earlier era, at most; a copy
-#: some seconds old lacks two or three.
-_MOST_FENCES: Final = 8
+#: Share of an order's duration after which all calls are moved if nothing speaks against the new
+#: version. Each daemon may then send it a tenth of all its calls so far, less those of the trial.
+#: With a duration of 14 s these are all its calls of 0.9 s, about as long as the last calls at the
+#: old version take.
+_FULL_STAGE_START_SHARE: Final = 0.78
+#: Share of an order's duration after which an undecided rollout is rolled back.
+_DECISION_DEADLINE_SHARE: Final = 0.97
+#: Answers of the new version required before all calls are moved. At odds of 1,000, a version that
+#: fails one call in four is detected after 12 to 20 answers.
+_MIN_ANSWERS: Final = 20
+#: With fewer calls of the service than this, fewer answers suffice.
+_LOW_TRAFFIC_CALLS: Final = 300
+#: Share of an order's duration after which few answers suffice for a service with little traffic.
+#: The exposure limit bounds the damage that such a version can do.
+_LATE_TRIAL_SHARE: Final = 0.85
+_MIN_LATE_ANSWERS: Final = 5
+#: Seconds for which the new version serves all calls before its success is written, in addition to
+#: the time in which nine of ten calls are answered. This reveals a version that is bad under load.
+_FULL_STAGE_SECONDS: Final = 0.4
+#: Slots of the new version, as a share of the old version's, that suffice for the full load.
+_MIN_SLOTS_RATIO: Final = 0.8
+#: Seconds between two attempts to access the store.
+_RETRY_DELAY: Final = 0.2
+#: Attempts to write one decision before the rollout is evaluated again.
+_MAX_ATTEMPTS: Final = 5
+#: Most writes that move the end of the statuses past the positions of an earlier era; a copy that
+#: is some seconds old lacks two or three.
+_MAX_FENCING_WRITES: Final = 8
 
 
 class Conductor:
@@ -85,15 +86,15 @@
             begin=lambda order, known, age: self._begin(order, known, age=age),
             note=note,
         )
-        #: End of the statuses, as far as is known.
+        #: Position of the end of the statuses, as far as is known.
         self._statuses_end = 0
-        #: The greatest offset that a condition of an earlier era may name.
+        #: The greatest offset that a conditional write of an earlier era may name.
         self._fence = 0
 
-    # --- what comes in ------------------------------------------------------------------------
+    # --- input ------------------------------------------------------------------------------------
 
     def take_order(self, order: RolloutOrder) -> None:
-        """An order was read from the store; one that is known changes nothing."""
+        """Accept an order read from the store; a known order has no effect."""
         known = self._book.find(order.service)
         if known is not None and known.order >= order.order:
             return
@@ -110,15 +111,16 @@
         self._book.merge([rollout], source="store")
 
     def note_era(self) -> None:
-        """The store has come back from another copy: no condition of before may hold by accident.
+        """Note that the store was restored from another copy.
 
-        What the copy lacks of the statuses is written again with the orders: each gets a new
-        position in the new era, for which no status is known to be written.
+        Conditions of writes before that must not hold by accident. Operators rewrite the orders
+        that the copy lacks. Each gets a position in the new era, for which no status is known, so
+        its status is written again.
         """
         self._fence = max(self._fence, offset_of(self._statuses_end))
 
     def _base_for(self, order: RolloutOrder, known: Rollout | None) -> str:
-        """The version that runs now: what the last rollout left, or what most targets run."""
+        """The version that runs now: the result of the last rollout, or that of most targets."""
         if known is not None:
             base = known.version if known.phase == Phase.SUCCEEDED else known.base
             return base if base != order.version else ""
@@ -127,12 +129,12 @@
         return min(hosts, key=lambda version: (-hosts[version], version), default="")
 
     def take_report(self, report: RolloutReport) -> None:
-        """What a daemon has seen; counts only grow, so the greatest of each start holds."""
+        """Record a daemon's report; the one with the greatest counts of each start is kept."""
         case = self._case(report.service, report.order)
         start = MemberStart(report.host, report.incarnation)
-        case.take(start, report)
+        case.record_report(start, report)
         if report.stage == Stage.FULL and report.base_running == 0:
-            case.sealed[start] = self._timers.now()
+            case.drained[start] = self._timers.now()
 
     def _case(self, service: str, order: int) -> RolloutCase:
         case = self._cases.setdefault((service, order), RolloutCase())
@@ -143,16 +145,16 @@
         return case
 
     def evidence(self, rollout: Rollout) -> Evidence:
-        """All that was reported of a rollout."""
+        """Aggregate all reports on a rollout."""
         case = self._case(rollout.service, rollout.order)
         hosts = self._fleet.hosts(rollout.service)[rollout.version]
         return evidence_of(case.reports.values(), new_hosts=hosts)
 
-    # --- decisions ----------------------------------------------------------------------------
+    # --- decisions --------------------------------------------------------------------------------
 
     def look(self) -> None:
-        """Decide what can be decided now, where this daemon leads; the store is not asked."""
-        self._held.look()
+        """Make all decisions that are due if this daemon leads, without accessing the store."""
+        self._held.recheck()
         if self._fleet.leads():
             for rollout in self._book.all:
                 if rollout.is_running:
@@ -160,28 +162,28 @@
 
     @property
     def is_settled(self) -> bool:
-        """Whether the store has, as far as this daemon knows, where all rollouts stand."""
+        """Whether the store has the current phase of all rollouts, as far as this daemon knows."""
         return not self._held.has_any and all(
             self._case(each.service, each.order).written == each.phase for each in self._book.all
         )
 
     async def settle(self) -> None:
-        """Bring the store to where rollouts stand, where this daemon leads."""
+        """Write the current phase of all rollouts to the store if this daemon leads."""
         await self._held.release()
         for rollout in self._book.all:
             if self._fleet.leads():
                 await self._write(rollout)
 
     def _decide(self, rollout: Rollout) -> None:
-        """Take a rollout a step further, or back."""
+        """Advance a rollout to its next stage, or roll it back."""
         evidence = self.evidence(rollout)
         regression = self._judge.regression(evidence)
         if regression is not None:
             self._move(rollout, phase=Phase.ROLLED_BACK, reason=str(regression))
-        elif rollout.age_s >= rollout.duration_s * _END_AT:
-            reason = f"its time was over; {self._held_back(rollout, evidence) or 'calls still ran'}"
+        elif rollout.age_s >= rollout.duration_s * _DECISION_DEADLINE_SHARE:
+            reason = f"its time was over; {self._blocker(rollout, evidence) or 'calls still ran'}"
             self._move(rollout, phase=Phase.ROLLED_BACK, reason=reason)
-        elif rollout.stage == Stage.TRIAL and not self._held_back(rollout, evidence):
+        elif rollout.stage == Stage.TRIAL and not self._blocker(rollout, evidence):
             self._move(rollout, stage=Stage.FULL, reason=f"{evidence.new_answers} answers")
             self._case(rollout.service, rollout.order).full_since = self._timers.now()
 
@@ -198,84 +200,84 @@
         )
         self._book.merge([moved], source="verdict", reason=reason)
 
-    def _held_back(self, rollout: Rollout, evidence: Evidence) -> str:
-        """Why the new version may not carry all calls yet; empty where it may."""
+    def _blocker(self, rollout: Rollout, evidence: Evidence) -> str:
+        """Why the new version may not take all calls yet; empty if it may."""
         if rollout.stage == Stage.FULL:
             return ""
-        if rollout.age_s < rollout.duration_s * _FULL_AT:
+        if rollout.age_s < rollout.duration_s * _FULL_STAGE_START_SHARE:
             return "its trial lasts"
-        is_late = rollout.age_s >= rollout.duration_s * _LATE_AT
-        least = _LEAST_LATE if is_late else _LEAST_ANSWERS
-        if evidence.all_answers < _FEW_CALLS:
+        is_late = rollout.age_s >= rollout.duration_s * _LATE_TRIAL_SHARE
+        least = _MIN_LATE_ANSWERS if is_late else _MIN_ANSWERS
+        if evidence.all_answers < _LOW_TRAFFIC_CALLS:
             least = 1
         if evidence.new_answers < least:
             return f"{evidence.new_answers} answers of it"
         slots = self._fleet.slots(rollout.service)
         new = slots[rollout.version]
         base = sum(slots.values()) - new
-        return "" if new >= _ROOM * base else f"{new} slots of it against {base}"
+        return "" if new >= _MIN_SLOTS_RATIO * base else f"{new} slots of it against {base}"
 
-    def _has_moved(self, rollout: Rollout) -> bool:
-        """Whether nothing can run at the old version any more, and the new one carries all well."""
+    def _is_complete(self, rollout: Rollout) -> bool:
+        """Whether no call can run at the old version and the new one handles the full load."""
         case = self._case(rollout.service, rollout.order)
         if not case.full_since:
-            case.full_since = self._timers.now()  # another daemon led when the calls were moved
+            case.full_since = self._timers.now()  # another daemon led when all calls were moved
         usual = slow_after(self.evidence(rollout).routes[""].base)
-        shown_by = case.full_since + _FULL_FOR + usual
-        if self._timers.now() < shown_by:
+        earliest_success = case.full_since + _FULL_STAGE_SECONDS + usual
+        if self._timers.now() < earliest_success:
             return False
         if not self._fleet.has_most():
             return False
-        # A daemon that was lost a moment ago may be cut off and send on until its lease is over.
-        wanted = self._fleet.present() | self._fleet.gone_within(BASE_LEASE)
-        return all(case.sealed.get(start, -math.inf) >= shown_by for start in wanted)
+        # A daemon lost recently may only be partitioned, and sends calls until its lease expires.
+        expected = self._fleet.present() | self._fleet.gone_within(BASE_LEASE)
+        return all(case.drained.get(start, -math.inf) >= earliest_success for start in expected)
 
-    # --- the store ----------------------------------------------------------------------------
+    # --- store access -----------------------------------------------------------------------------
 
     async def _write(self, rollout: Rollout) -> None:
-        """Bring the status in the store to where the rollout stands."""
+        """Write the rollout's phase to the store, with retries."""
         case = self._case(rollout.service, rollout.order)
-        if case.written in (self._wanted(rollout), Phase.SUCCEEDED):
+        if case.written in (self._expected_phase(rollout), Phase.SUCCEEDED):
             return
-        for _ in range(_TRIES):
+        for _ in range(_MAX_ATTEMPTS):
             if await self._try_to_write(rollout, case):
                 return
-            await self._timers.sleep(_RETRY * self._seed.uniform(0.5, 1.0))
+            await self._timers.sleep(_RETRY_DELAY * self._seed.uniform(0.5, 1.0))
 
-    def _wanted(self, rollout: Rollout) -> Phase:
-        """The phase that the store should have now."""
+    def _expected_phase(self, rollout: Rollout) -> Phase:
+        """The phase that the store should hold now."""
         phase = Phase(rollout.phase)
         is_full = phase is Phase.RUNNING and rollout.stage == Stage.FULL
-        return Phase.SUCCEEDED if is_full and self._has_moved(rollout) else phase
+        return Phase.SUCCEEDED if is_full and self._is_complete(rollout) else phase
 
     async def _try_to_write(self, rollout: Rollout, case: RolloutCase) -> bool:
-        """One look at the store, and a write on the condition that it is still so.
+        """Read the status, then write on the condition that it hasn't changed.
 
-        After a write of which nobody knows whether it has happened the next look tells, and the
-        write that then follows makes a late one fail.
+        If the result of a write is unknown, the next read shows it, and the conditional write that
+        follows makes a delayed one fail.
         """
         found = await self._store.read(rollout.service)
         if isinstance(found, StatusLost):
             self._note("rollout_status_not_read", {"reason": found.reason})
             return False
         self._statuses_end = found.position
-        if self._is_settled(found, rollout, case):
+        if self._apply_final_status(found, rollout, case):
             return True
         now = self._book.find(rollout.service)
         if now is None or now.order != rollout.order:
             return True
-        wanted = self._wanted(now)  # what has happened while the store was read counts
-        if case.written is wanted:
+        expected = self._expected_phase(now)  # includes changes made while the store was read
+        if case.written is expected:
             return True
         if not await self._is_past_fence(rollout, found):
             return False
-        return await self._write_phase(rollout, wanted, case, found.position)
+        return await self._write_phase(rollout, expected, case, found.position)
 
     async def _is_past_fence(self, rollout: Rollout, found: StatusFound) -> bool:
         """Whether no condition of an earlier era can hold any more.
 
-        A write of that era may still come, and must not hold because its offset was given out
-        again: the status of now is written until the end has passed all such offsets.
+        A delayed write of that era could succeed if its offset were assigned again. Therefore the
+        current status is written until the end has passed all such offsets.
         """
         if offset_of(found.position) >= self._fence:
             return True
@@ -283,7 +285,7 @@
         if status is None or not status.is_about(rollout):
             status = RolloutStatus(rollout.service, rollout.version, Phase.RUNNING, rollout.order)
         position = found.position
-        for _ in range(_MOST_FENCES):
+        for _ in range(_MAX_FENCING_WRITES):
             if offset_of(position) >= self._fence:
                 break
             if await self._store.write(status, position=position) is not True:
@@ -296,7 +298,7 @@
     async def _write_phase(
         self, rollout: Rollout, phase: Phase, case: RolloutCase, position: int
     ) -> bool:
-        """Write a phase unless anything was written since `position`; whether it is there now."""
+        """Write a phase unless the store has changed since `position`; return whether it did so."""
         status = RolloutStatus(rollout.service, rollout.version, phase, rollout.order)
         written = await self._store.write(status, position=position)
         if isinstance(written, StatusLost):
@@ -316,14 +318,14 @@
             self._book.merge([rollout.with_changes(phase=int(phase))], source="store")
         return True
 
-    def _is_settled(self, found: StatusFound, rollout: Rollout, case: RolloutCase) -> bool:
-        """Whether the store holds an end of this order, or word of a later one; takes it over."""
+    def _apply_final_status(self, found: StatusFound, rollout: Rollout, case: RolloutCase) -> bool:
+        """Whether the store has this order's final phase, which is applied, or a later order."""
         status = found.status
         if status is None:
             return False
         if not status.is_about(rollout):
             return status.order > rollout.order
-        if self._is_undone(status.phase, rollout, case):
+        if self._contradicts_acknowledged(status.phase, rollout, case):
             return False
         case.written = status.phase
         if status.phase is Phase.RUNNING:
@@ -333,12 +335,12 @@
         return True
 
     @staticmethod
-    def _is_undone(phase: Phase, rollout: Rollout, case: RolloutCase) -> bool:
-        """Whether the store holds another end than it has acknowledged.
+    def _contradicts_acknowledged(phase: Phase, rollout: Rollout, case: RolloutCase) -> bool:
+        """Whether the store holds a different final phase than it acknowledged.
 
-        Only a write of an earlier era that came late does that.  What was acknowledged, and what
-        daemons have acted on, holds: it is written again.  A success is believed by no daemon
-        before the store has it.
+        Only a delayed write of an earlier era causes this. The acknowledged phase, on which daemons
+        have acted, prevails and is written again. No daemon assumes a success before the store
+        holds it.
         """
         if phase is Phase.RUNNING:
             return False
--- a/packages/rollouts/src/acaciayard_rollouts/_evidence.py
+++ b/packages/rollouts/src/acaciayard_rollouts/_evidence.py
@@ -1,4 +1,4 @@
-"""What is seen of two versions, counted at each daemon and added up at the one that leads."""
+"""Results of calls to both versions, counted by each daemon and aggregated by the leading one."""
 
 from __future__ import annotations
 
@@ -22,45 +22,45 @@
     "evidence_of",
 ]
 
-#: Buckets of times.  Each is 1.5 times as long as the one before, so that a version which is twice
-#: as slow moves its answers by two; the last holds all from 1.5 s on.
+#: Number of latency buckets. Each is 1.5 times as long as the one before, so that answers of a
+#: version that is twice as slow move by two buckets; the last holds everything from 1.5 s on.
 BUCKETS: Final = 16
 _FIRST_BUCKET_S: Final = 0.005
 _GROWTH: Final = math.log(1.5)
-#: Routes that are counted by themselves; a report of both versions on so many fits a datagram.
-_MOST_ROUTES: Final = 6
-#: Failing targets that a report names: enough to tell one bad target from a bad version.
-_MOST_BAD_HOSTS: Final = 4
+#: Most routes that are counted separately; a report on both versions of so many fits a datagram.
+_MAX_ROUTES: Final = 6
+#: Most failing targets named in a report; these suffice to tell a bad target from a bad version.
+_MAX_BAD_HOSTS: Final = 4
 
 
 def bucket_of(seconds: float) -> int:
-    """The bucket of a time."""
+    """The bucket of a latency."""
     if seconds <= _FIRST_BUCKET_S:
         return 0
     return min(BUCKETS - 1, 1 + int(math.log(seconds / _FIRST_BUCKET_S) / _GROWTH))
 
 
 def bucket_start(bucket: int) -> float:
-    """The least time in a bucket, in seconds."""
+    """The lower bound of a bucket in seconds."""
     return _FIRST_BUCKET_S * math.exp((bucket - 1) * _GROWTH) if bucket else 0.0
 
 
 @define(eq=False)
 class SideCounts:
-    """Calls of one route that ended at targets of one version."""
+    """Results of calls of one route to targets of one version."""
 
-    #: How many.
+    #: Calls that ended at a target.
     answers: int = 0
-    #: Those that failed.
+    #: Calls that failed.
     bad: int = 0
-    #: How many took how long.
+    #: Successful calls by latency bucket.
     times: list[int] = field(factory=lambda: [0] * BUCKETS)
-    #: How many run now, and for how long already.  A version that has become slow answers late, and
-    #: what it has not answered yet tells first.
+    #: Running calls by the bucket of their age. When a version has become slow, its unanswered
+    #: calls are the first evidence of it.
     running: list[int] = field(factory=lambda: [0] * BUCKETS)
 
     def add(self, row: ReportRow) -> None:
-        """Add what a daemon has seen."""
+        """Add a row of a daemon's report."""
         self.answers += row.answers
         self.bad += row.bad
         for bucket, count in enumerate(row.times[:BUCKETS]):
@@ -69,7 +69,7 @@
             self.running[bucket] += count
 
     def note(self, seconds: float | None, *, is_bad: bool) -> None:
-        """A call has ended; without `seconds` its time says nothing."""
+        """Count a call that has ended; its latency is not counted if `seconds` is `None`."""
         self.answers += 1
         if is_bad:
             self.bad += 1
@@ -78,7 +78,7 @@
 
 
 class Tally:
-    """What this daemon has seen of one rollout."""
+    """Results of this daemon's calls during one rollout."""
 
     def __init__(self) -> None:
         self._counts: dict[tuple[str, Side], SideCounts] = {}
@@ -86,34 +86,34 @@
         self._running: dict[object, tuple[str, Side, float]] = {}
 
     def begin(self, run: object, route: str, side: Side, now: float) -> None:
-        """A call goes to a target of one of the versions; `run` tells it from others."""
-        self._running[run] = (self._named(route, side), side, now)
+        """Add a running call to one of the versions, identified by `run`."""
+        self._running[run] = (self._counted_name(route, side), side, now)
 
     def end(self, run: object) -> None:
-        """The call runs no more."""
+        """Remove a running call."""
         self._running.pop(run, None)
 
-    def _named(self, route: str, side: Side) -> str:
+    def _counted_name(self, route: str, side: Side) -> str:
         """The name under which a route is counted."""
-        is_known = (route, side) in self._counts or len(self._counts) < 2 * _MOST_ROUTES
+        is_known = (route, side) in self._counts or len(self._counts) < 2 * _MAX_ROUTES
         return route if is_known else ""
 
     def note(
         self, route: str, side: Side, *, host: str, seconds: float | None, is_bad: bool
     ) -> None:
-        """A call of a route has ended at a target of one of the versions, on `host`."""
-        key = (self._named(route, side), side)
+        """Count a call of a route that ended at a target of one of the versions on `host`."""
+        key = (self._counted_name(route, side), side)
         self._counts.setdefault(key, SideCounts()).note(seconds, is_bad=is_bad)
-        if is_bad and side is Side.NEW and len(self._bad_hosts) < _MOST_BAD_HOSTS:
+        if is_bad and side is Side.NEW and len(self._bad_hosts) < _MAX_BAD_HOSTS:
             self._bad_hosts.add(zlib.crc32(host.encode()))
 
     @property
     def bad_hosts(self) -> list[int]:
-        """Targets of the new version that have failed a call, as short hashes."""
+        """Targets of the new version that have failed a call, as short hashes of host names."""
         return sorted(self._bad_hosts)
 
     def rows(self, now: float) -> tuple[ReportRow, ...]:
-        """All counts, and what runs at `now`."""
+        """All counts, including the calls that run at `now`."""
         running: dict[tuple[str, Side], list[int]] = {key: [0] * BUCKETS for key in self._counts}
         for route, side, started in self._running.values():
             ages = running.setdefault((route, side), [0] * BUCKETS)
@@ -129,7 +129,7 @@
 
 @frozen
 class RouteEvidence:
-    """Both versions on one route."""
+    """Results of both versions on one route."""
 
     #: The version that ran before.
     base: SideCounts
@@ -139,13 +139,13 @@
 
 @frozen
 class Evidence:
-    """All that daemons have reported of one rollout."""
+    """The aggregated reports of all daemons on one rollout."""
 
-    #: By route, and under the empty name all of them together.
+    #: By route; the empty name stands for all routes together.
     routes: dict[str, RouteEvidence]
-    #: Targets of the new version that have failed a call, as short hashes.
+    #: Targets of the new version that have failed a call, as short hashes of their hosts' names.
     bad_hosts: frozenset[int]
-    #: Targets of the new version.
+    #: Number of targets of the new version.
     new_hosts: int
 
     @property
@@ -160,13 +160,13 @@
 
 
 def evidence_of(reports: Iterable[RolloutReport], *, new_hosts: int) -> Evidence:
-    """Add up the newest report of each daemon and start."""
+    """Aggregate the latest reports of all process lifetimes of the daemons."""
     routes = {"": RouteEvidence(SideCounts(), SideCounts())}
     bad_hosts: set[int] = set()
     for report in reports:
         bad_hosts.update(report.bad_hosts)
         for row in report.rows:
-            named = routes.setdefault(row.route, RouteEvidence(SideCounts(), SideCounts()))
-            for found in {id(named): named, id(routes[""]): routes[""]}.values():
+            counts = routes.setdefault(row.route, RouteEvidence(SideCounts(), SideCounts()))
+            for found in {id(counts): counts, id(routes[""]): routes[""]}.values():
                 (found.new if row.side == Side.NEW else found.base).add(row)
     return Evidence(routes, frozenset(bad_hosts), new_hosts)
--- a/packages/rollouts/src/acaciayard_rollouts/_exposure.py
+++ b/packages/rollouts/src/acaciayard_rollouts/_exposure.py
@@ -1,4 +1,4 @@
-"""Bounds how many calls a version gets that nothing has been proved of yet."""
+"""Limits the calls sent to a version that is not proven yet."""
 
 from __future__ import annotations
 
@@ -9,25 +9,24 @@
 
 @define(eq=False)
 class ExposureBudget:
-    """What one daemon may send to a new version, by its own calls alone.
+    """Limits the calls of one daemon to a new version, without coordination.
 
-    A call may go there only while, with it, the calls sent there are at most `share` of those of
-    this daemon that have ended at a target since it heard of the order.  So the sum over all
-    daemons keeps the share whatever is cut off, killed, late or started again, without anybody
-    being asked: a daemon that starts anew counts both from zero, and what it has forgotten kept the
-    share as well.  The fixed part that operators allow besides is used by nobody.
+    A call may go to the new version only while, including it, at most `share` of this daemon's
+    answered calls since the order arrived have been sent there. The total over all daemons
+    therefore respects the share under partitions, kills, delays and restarts: a restarted daemon
+    counts both from zero, and the calls it has forgotten respected the share as well. The fixed
+    number of calls that operators allow in addition is not used.
 
     Example:
-
         budget = ExposureBudget(share=0.1)
         if budget.has_room:
             budget.spend()          # a call is sent to the new version
         budget.note_answer()        # a call to either version has been answered
     """
 
-    #: Greatest share of the calls.
+    #: Greatest share of calls that may go to the new version.
     share: float
-    #: Calls that were sent to the new version.
+    #: Calls sent to the new version.
     spent: int = 0
     #: Calls to either version that a target has answered.
     total: int = 0
@@ -38,13 +37,13 @@
         return self.spent + 1 <= self.share * self.total
 
     def spend(self) -> None:
-        """A call is sent to the new version."""
+        """Count a call sent to the new version."""
         self.spent += 1
 
     def give_back(self) -> None:
-        """The call was refused before any target had it."""
+        """Uncount a call that was refused before any target received it."""
         self.spent -= 1
 
     def note_answer(self) -> None:
-        """A target has answered a call."""
+        """Count a call that a target has answered."""
         self.total += 1
--- a/packages/rollouts/src/acaciayard_rollouts/_fleet.py
+++ b/packages/rollouts/src/acaciayard_rollouts/_fleet.py
@@ -1,4 +1,4 @@
-"""The daemons and targets of a mesh, as a conductor asks for them."""
+"""The conductor's interface to the daemons and targets of a mesh."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 
 @frozen
 class MemberStart:
-    """One start of one daemon."""
+    """One process lifetime of a daemon."""
 
-    #: Host.
+    #: Name of the host.
     host: str
-    #: Incarnation.
+    #: Incarnation number of the daemon.
     incarnation: int
 
 
 class Fleet:
-    """What a conductor asks of the other daemons and of the targets, as questions to call."""
+    """Callables by which a conductor queries the daemons and targets."""
 
     def __init__(
         self,
@@ -33,16 +33,17 @@
         leads: Callable[[], bool],
         has_most: Callable[[], bool],
     ) -> None:
-        #: Daemons that count as running.
+        #: Daemons considered running.
         self.present = present
-        #: Daemons that were lost within so many seconds and may still run, cut off.
+        #: Daemons lost within the given seconds, which may still run on the other side of a
+        #: partition.
         self.gone_within = gone_within
         #: Slots of a service by version.
         self.slots = slots
-        #: Targets of a service by version.
+        #: Number of targets of a service by version.
         self.hosts = hosts
         #: Whether this daemon leads.
         self.leads = leads
-        #: Whether most of all daemons count as running: a few that are cut off together must not
-        #: take themselves for all.
+        #: Whether a majority of all daemons is considered running; a partitioned minority must not
+        #: take itself for the whole mesh.
         self.has_most = has_most
--- a/packages/rollouts/src/acaciayard_rollouts/_held_orders.py
+++ b/packages/rollouts/src/acaciayard_rollouts/_held_orders.py
@@ -1,4 +1,4 @@
-"""Orders that a store which came back older shows, while it may lack a later one."""
+"""Orders read from a restored store that may lack a later order."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from acaciayard_logservice import era_of
 from acaciayard_timers import TimerService
 
-from ._book import HELD_FOR, RolloutBook
+from ._book import ORDER_HOLD_SECONDS, RolloutBook
 from ._fleet import Fleet
 from ._orders import RolloutOrder, StatusLost, StatusStore, rollout_of
 from ._states import Rollout
@@ -19,18 +19,19 @@
 
 @frozen
 class _HeldOrder:
-    """An order that may be older than the one that is known."""
+    """An order that may be older than the known one."""
 
     #: The order.
     order: RolloutOrder
-    #: When it was read, by the timer service.
+    #: When it was read, on the clock of the timer service.
     since: float
 
 
 class HeldOrders:
     """Holds an order of a later era of the store until it is known not to be an older one.
 
-    `begin` takes an order that is not, with the order that was known before it and its age.
+    `begin` receives an order that is not older, with the previously known rollout and the order's
+    age.
     """
 
     def __init__(
@@ -53,33 +54,30 @@
 
     @property
     def has_any(self) -> bool:
-        """Whether an order is held."""
+        """Whether any order is held."""
         return bool(self._held)
 
     def drop(self, service: str) -> None:
-        """Another order of the service has been taken."""
+        """Drop the held order of a service, as another one was accepted."""
         self._held.pop(service, None)
 
     @staticmethod
     def may_be_older(order: RolloutOrder, known: Rollout) -> bool:
-        """Whether an order of a later era may have been given before the one that is known."""
+        """Whether an order of a later era may have been given before the known one."""
         is_other_era = era_of(order.order) != era_of(known.order)
-        return is_other_era and not rollout_of(order).says_the_same_as(known)
+        return is_other_era and not rollout_of(order).is_rewrite_of(known)
 
     def hold(self, order: RolloutOrder) -> None:
-        """Wait for the order that is known to be written again, where this one may be older.
-
-        One that is known to be older is passed over.
-        """
-        is_older = self._book.is_past(order.service, order.order, order.version)
+        """Hold an order until the known one is written again; ignore it if it is surely older."""
+        is_older = self._book.is_superseded(order.service, order.order, order.version)
         held = self._held.get(order.service)
         if not is_older and (held is None or held.order != order):
             self._held[order.service] = _HeldOrder(order, self._timers.now())
         fields = {"service": order.service, "version": order.version, "older": is_older}
         self._note("rollout_order_held", fields)
 
-    def look(self) -> None:
-        """Drop held orders that turn out older than the known one; take those that are later."""
+    def recheck(self) -> None:
+        """Drop held orders older than the known one, and begin those that are later."""
         for service, held in list(self._held.items()):
             known = self._book.find(service)
             if known is not None and known.order >= held.order.order:
@@ -89,14 +87,14 @@
                 self._begin(held.order, known, self._timers.now() - held.since)
 
     async def release(self) -> None:
-        """Take orders that have waited long enough, unless the store has a status of them.
+        """Begin orders that were held long enough, unless the store has a status of them.
 
-        One that has a status was given before the order that is known.  Only the daemon that leads
-        takes one; the others hear of it.
+        An order that has a status was given before the known one. Only the leading daemon begins an
+        order; the others learn of it through updates.
         """
         for service, held in list(self._held.items()):
             age = self._timers.now() - held.since
-            if age < HELD_FOR or not self._fleet.leads():
+            if age < ORDER_HOLD_SECONDS or not self._fleet.leads():
                 continue
             found = await self._store.read(service)
             if isinstance(found, StatusLost) or self._held.get(service) is not held:
--- a/packages/rollouts/src/acaciayard_rollouts/_judges.py
+++ b/packages/rollouts/src/acaciayard_rollouts/_judges.py
@@ -1,8 +1,8 @@
 """Decides whether a new version is worse than the one that ran before.
 
-Both are compared by route, over the same time and through the same daemons, so that what strikes
-them alike (a crowd, a lost link, a target in seven that fails a part of its calls) condemns
-neither.
+Both versions are compared by route, over the same time and through the same daemons. Problems that
+affect both alike, such as a traffic peak, a lost link, or one target in seven that fails a share of
+its calls, therefore condemn neither.
 """
 
 from __future__ import annotations
@@ -15,43 +15,51 @@
 
 from ._evidence import BUCKETS, Evidence, RouteEvidence, SideCounts, bucket_start
 
-__all__ = ["LEAST_BASE", "Judge", "Regression", "SequentialJudge", "slow_after", "slow_bucket"]
-
-#: Evidence that condemns, as odds: a good version of one order in a thousand would show as much
-#: at any moment of its trial, by either test; the users want at most one in a hundred turned back.
-_ODDS: Final = 1000.0
-#: Share of failures beyond twice that of the old version which is taken for chance: targets of
-#: either version end, lose answers, and are replaced.
-_FAILURES_ALLOWED: Final = 0.02
-#: What takes longer than this share of the old version's answers is slow.  A version whose answers
-#: take several times longer has most of them beyond it.
+__all__ = [
+    "MIN_BASE_ANSWERS",
+    "Judge",
+    "Regression",
+    "SequentialJudge",
+    "slow_after",
+    "slow_bucket",
+]
+
+#: Odds at which a version is rolled back. A good version reaches them at some moment of its trial
+#: in one order of a thousand for each test; users accept that at most one in a hundred is rolled
+#: back.
+_ROLLBACK_ODDS: Final = 1000.0
+#: Share of failures, beyond twice that of the old version, that is attributed to chance: targets of
+#: either version terminate, lose answers, and are replaced.
+_FAILURE_TOLERANCE: Final = 0.02
+#: Quantile of the old version's latencies beyond which an answer is slow. Most answers of a version
+#: that is several times slower are beyond it.
 _SLOW_QUANTILE: Final = 0.9
-#: Share of slow answers which is taken for chance: what was one in ten before is rarely the same in
-#: a few dozen answers, and single targets are slow.
-_SLOW_ALLOWED: Final = 0.10
-#: Answers of the old version from which its times are known.
-LEAST_BASE: Final = 40
-#: Shares of bad answers that a bad version may have, all equally likely beforehand.
-_SUSPECTED: Final = (0.08, 0.15, 0.25, 0.4, 0.6, 0.85)
-#: Failures after which a plain comparison of shares suffices.  A version may not be sent anything
-#: some seconds after its fiftieth bad answer, however seldom it fails.
-_PLAIN_AFTER: Final = 25
-_PLAIN_FACTOR: Final = 2.0
-_PLAIN_ALLOWED: Final = 0.01
+#: Share of slow answers that is attributed to chance: one in ten before is rarely exactly one in
+#: ten among a few dozen answers, and single targets are slow.
+_SLOW_TOLERANCE: Final = 0.10
+#: Answers of the old version required to know its latencies.
+MIN_BASE_ANSWERS: Final = 40
+#: Shares of bad answers that a bad version may have, with equal prior probability.
+_SUSPECTED_SHARES: Final = (0.08, 0.15, 0.25, 0.4, 0.6, 0.85)
+#: Failures after which a direct comparison of shares suffices. Within seconds of its fiftieth bad
+#: answer a version must get no calls any more, however rarely it fails.
+_DIRECT_MIN_FAILURES: Final = 25
+_DIRECT_FACTOR: Final = 2.0
+_DIRECT_TOLERANCE: Final = 0.01
 
 
 @frozen
 class Regression:
-    """Why a version is turned back, for logs and operators."""
+    """Why a version is rolled back, for logs and operators."""
 
     #: `failures` or `slow`.
     what: str
-    #: The route; empty for all together.
+    #: Name of the route; empty for all routes together.
     route: str
     #: Bad answers of the new version, and all of its answers.
     bad: int
     answers: int
-    #: Share of such answers that was taken for chance.
+    #: Share of such answers that was attributed to chance.
     usual: float
 
     def __str__(self) -> str:
@@ -61,22 +69,22 @@
 
 
 class Judge(ABC):
-    """Compares the versions."""
+    """Compares the results of two versions."""
 
     @abstractmethod
     def regression(self, evidence: Evidence) -> Regression | None:
-        """Why the new version is bad, `None` while nothing shows it."""
+        """Return why the new version is bad, or `None` while nothing shows that it is."""
 
 
 class SequentialJudge(Judge):
-    """Odds of "it fails more often" against "it fails as the old one does", at any moment.
+    """A sequential test of "fails more often than the old version" against "fails as often".
 
-    The odds are the mean over several shares of bad answers, so nobody has to say beforehand how
-    bad a version may be, and they may be looked at after each answer: under a good version they
-    reach 1,000 in at most one trial of 1,000, whenever one stops.
+    The odds are averaged over several shares of bad answers, so that the failure rate of a bad
+    version need not be known in advance. They may be checked after each answer: for a good version
+    they reach 1,000 in at most one trial of 1,000, whatever the stopping rule.
 
-    A single target does not condemn its version: failures must come from two, where there are two,
-    and slow answers must be more than one target of all can give.
+    A single target does not condemn its version: failures must come from two targets, if there are
+    two, and slow answers must exceed what one target can contribute.
     """
 
     def regression(self, evidence: Evidence) -> Regression | None:
@@ -92,37 +100,37 @@
         if len(evidence.bad_hosts) < min(2, evidence.new_hosts):
             return None
         base_share = _share(pair.base)
-        usual = 2 * base_share + _FAILURES_ALLOWED
-        plain = new.bad > _PLAIN_AFTER and new.bad / new.answers > (
-            _PLAIN_FACTOR * base_share + _PLAIN_ALLOWED
+        usual = 2 * base_share + _FAILURE_TOLERANCE
+        is_direct_regression = new.bad > _DIRECT_MIN_FAILURES and new.bad / new.answers > (
+            _DIRECT_FACTOR * base_share + _DIRECT_TOLERANCE
         )
-        if plain or _odds(new.bad, new.answers, usual) > _ODDS:
+        if is_direct_regression or _odds(new.bad, new.answers, usual) > _ROLLBACK_ODDS:
             return Regression("failures", route, new.bad, new.answers, usual)
         return None
 
     @staticmethod
     def _slow(route: str, pair: RouteEvidence, evidence: Evidence) -> Regression | None:
-        if sum(pair.base.times) < LEAST_BASE:
+        if sum(pair.base.times) < MIN_BASE_ANSWERS:
             return None
         bucket = slow_bucket(pair.base)
-        overdue = sum(pair.new.running[bucket:])
-        slow = sum(pair.new.times[bucket:]) + overdue
-        answers = sum(pair.new.times) + overdue
-        usual = _SLOW_ALLOWED + 1 / max(1, evidence.new_hosts)
+        running_slow = sum(pair.new.running[bucket:])
+        slow = sum(pair.new.times[bucket:]) + running_slow
+        answers = sum(pair.new.times) + running_slow
+        usual = _SLOW_TOLERANCE + 1 / max(1, evidence.new_hosts)
         base_share = sum(pair.base.times[bucket:]) / sum(pair.base.times)
         usual = max(usual, 2 * base_share)
-        if _odds(slow, answers, usual) > _ODDS:
+        if _odds(slow, answers, usual) > _ROLLBACK_ODDS:
             return Regression("slow", route, slow, answers, usual)
         return None
 
 
 def _share(counts: SideCounts) -> float:
-    """Share of failures, a little above what was seen, since little was seen at first."""
+    """Share of failures, estimated slightly above the observed one while there are few answers."""
     return (counts.bad + 0.5) / (counts.answers + 50)
 
 
 def slow_bucket(base: SideCounts) -> int:
-    """The first bucket whose answers are slow against those of the old version."""
+    """The first bucket whose answers are slow compared with the old version's."""
     left = _SLOW_QUANTILE * sum(base.times)
     for bucket, count in enumerate(base.times):
         left -= count
@@ -132,15 +140,15 @@
 
 
 def slow_after(base: SideCounts) -> float:
-    """Seconds after which a call of the old version counts as slow; 0 where nothing is known."""
-    if sum(base.times) < LEAST_BASE:
+    """Seconds after which a call to the old version counts as slow; 0 if too little is known."""
+    if sum(base.times) < MIN_BASE_ANSWERS:
         return 0.0
     return bucket_start(slow_bucket(base))
 
 
 def _odds(bad: int, answers: int, usual: float) -> float:
-    """Odds of any of the suspected shares against `usual`, given so many bad answers."""
-    shares = [share for share in _SUSPECTED if share > usual]
+    """Average odds of the suspected shares against `usual`, given the number of bad answers."""
+    shares = [share for share in _SUSPECTED_SHARES if share > usual]
     if not bad or not shares:
         return 0.0
     good = answers - bad
@@ -151,4 +159,4 @@
     largest = max(logs)
     if largest > 50:  # beyond any odds that matter
         return math.inf
-    return sum(math.exp(log) for log in logs) / len(_SUSPECTED)
+    return sum(math.exp(log) for log in logs) / len(_SUSPECTED_SHARES)
--- a/packages/rollouts/src/acaciayard_rollouts/_orders.py
+++ b/packages/rollouts/src/acaciayard_rollouts/_orders.py
@@ -1,4 +1,4 @@
-"""Orders of operators, and what they are told of them."""
+"""Rollout orders from operators, and the statuses that are reported back."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
 
 @frozen
 class RolloutOrder:
-    """An operator wants a service moved to another version."""
+    """An operator's order to move a service to another version."""
 
-    #: The service.
+    #: Name of the service.
     service: str
-    #: The version that it is to run.
+    #: The version to move to.
     version: str
-    #: Seconds within which it is to be decided.
+    #: Seconds within which the rollout must be decided.
     duration_s: float
     #: Position of the order in the store.
     order: int
@@ -36,22 +36,22 @@
 
 @frozen
 class RolloutStatus:
-    """What the store says of a rollout."""
+    """A rollout status in the store."""
 
-    #: The service.
+    #: Name of the service.
     service: str
     #: The version of the order.
     version: str
-    #: Where it stands.
+    #: Phase of the rollout.
     phase: Phase
-    #: Position of the order that it is about; negative where the record does not say.
+    #: Position of the order; negative if the record does not contain it.
     order: int
 
     def is_about(self, rollout: Rollout) -> bool:
-        """Whether it is about the order of a rollout.
+        """Whether the status is about the order of `rollout`.
 
-        An order that a store has kept through a change of its era stands at the same offset.  One
-        that was lost has taken its status with it, which was written after it.
+        An order that a store has kept when its era changed is at the same offset. If an order was
+        lost, its status was lost as well, since that was written later.
         """
         if self.order == rollout.order:
             return True
@@ -65,37 +65,37 @@
 
 @frozen
 class StatusFound:
-    """What the store holds."""
+    """The result of reading a status."""
 
-    #: The newest status of the service, `None` where there is none.
+    #: The newest status of the service; `None` if there is none.
     status: RolloutStatus | None
-    #: From where on nothing was written yet; a write on this condition fails after any other, and
-    #: where the store has come back from an older copy since.
+    #: Position of the end of the store. A conditional write at it fails after any other write, or
+    #: if the store has been restored from an older copy since.
     position: int
 
 
 @frozen
 class StatusLost:
-    """The store did not answer, or not in a way that tells what has happened."""
+    """The store did not respond, or the result of the operation is unknown."""
 
-    #: Why.
+    #: Description of the error.
     reason: str
 
 
 class StatusStore(ABC):
-    """Where the status of rollouts is kept for operators, and for daemons that start."""
+    """Store of rollout statuses for operators and for starting daemons."""
 
     @abstractmethod
     async def read(self, service: str) -> StatusFound | StatusLost:
-        """The newest status of a service."""
+        """Read the newest status of a service."""
 
     @abstractmethod
     async def write(self, status: RolloutStatus, *, position: int) -> bool | StatusLost:
-        """Write a status unless anything was written since `position`; whether it was written."""
+        """Write a status unless the store has changed since `position`; return whether it did."""
 
 
 def rollout_of(order: RolloutOrder, *, base: str = "", age: float = 0.0) -> Rollout:
-    """Where an order stands that was just taken."""
+    """Create the rollout of an order that was just accepted."""
     return Rollout(
         order.service,
         version=order.version,
--- a/packages/rollouts/src/acaciayard_rollouts/_states.py
+++ b/packages/rollouts/src/acaciayard_rollouts/_states.py
@@ -1,4 +1,4 @@
-"""What daemons know, and tell each other, of a service that moves to another version."""
+"""State and messages of a service's rollout that daemons share."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
 
 
 class Phase(IntEnum):
-    """Where a rollout stands; of two beliefs about one order the later in this list wins.
+    """Phase of a rollout; when merging states of one order, the later phase in this list wins.
 
-    A success is believed only once the store has it, where the two ends exclude each other.  So it
-    goes before a daemon's own word that the version was taken back, which comes first.
+    A success is assumed only once the store holds it, where the two final phases exclude each
+    other. It therefore overrides a rollback that a daemon has announced before it is in the store.
     """
 
     #: Calls are being moved.
@@ -39,16 +39,16 @@
 
 
 class Stage(IntEnum):
-    """How far the calls of a running rollout are moved; it never goes back."""
+    """Stage of a running rollout; it never goes back."""
 
-    #: A small share goes to the new version.
+    #: A small share of calls goes to the new version.
     TRIAL = 0
-    #: All go to the new version, as far as the exposure allows; none to the old one.
+    #: All calls go to the new version as far as the exposure allows; none to the old one.
     FULL = 1
 
 
 class Side(IntEnum):
-    """Which of the two versions of a rollout a call goes to."""
+    """The two versions of a rollout."""
 
     #: The version that ran before.
     BASE = 0
@@ -61,37 +61,36 @@
     """A service that moves, or has moved, to another version.
 
     Example:
-
-        told = Rollout("quotes", version="v2", base="v1", order=17, duration_s=14.0)
-        told.with_changes(phase=Phase.ROLLED_BACK).rank > told.rank    # True
+        rollout = Rollout("quotes", version="v2", base="v1", order=17, duration_s=14.0)
+        rollout.with_changes(phase=Phase.ROLLED_BACK).rank > rollout.rank    # True
     """
 
-    #: The service.
+    #: Name of the service.
     service: str
     #: The version that the order names.
     version: str
-    #: The version that ran when the order came; empty where that is not known.
+    #: The version that ran when the order arrived; empty if unknown.
     base: str
-    #: Position of the order in the store; that of a later order is greater.
+    #: Position of the order in the store; later orders have greater positions.
     order: int = field(validator=ge(0))
-    #: Seconds within which the operator wants it to be decided.
+    #: Seconds within which the operator wants a decision.
     duration_s: float = field(validator=ge(0))
-    #: Where it stands.
+    #: Phase of the rollout, a `Phase`.
     phase: int = field(default=Phase.RUNNING, validator=in_(frozenset(Phase)))
-    #: How far calls are moved.
+    #: Stage of the rollout, a `Stage`.
     stage: int = field(default=Stage.TRIAL, validator=in_(frozenset(Stage)))
-    #: Seconds since the order was first heard of, when this was told.
+    #: Seconds between the first sight of the order and the creation of this object.
     age_s: float = field(default=0.0, validator=ge(0))
-    #: Position of the order that it followed, as far as the teller knows; 0 for none.
+    #: Position of the preceding order as far as the sender knows; 0 for none.
     follows: int = field(default=0, validator=ge(0))
 
     def with_changes(self, **changes: Any) -> Rollout:
-        """A copy with some attributes changed."""
+        """Return a copy with some attributes changed."""
         return evolve(self, **changes)
 
     @property
     def rank(self) -> tuple[int, int, int]:
-        """Its place in the order of all beliefs about the service; the greatest wins."""
+        """Sort key of all states of one service's rollouts; the greatest wins."""
         return (self.order, self.phase, self.stage)
 
     @property
@@ -99,11 +98,11 @@
         """Whether it is not decided yet."""
         return self.phase == Phase.RUNNING
 
-    def says_the_same_as(self, other: Rollout) -> bool:
-        """Whether its order reads as that of `other`, and was read in another era of the store.
+    def is_rewrite_of(self, other: Rollout) -> bool:
+        """Whether both orders have the same content and were read in different eras of the store.
 
-        A store that came back from an older copy gets the order a second time, at another place;
-        what operators write twice in one era are two orders.
+        An order that is rewritten after the store was restored from an older copy has another
+        position. Two orders of the same content in one era are different orders.
         """
         return (
             era_of(self.order) != era_of(other.order)
@@ -114,7 +113,7 @@
 
 @frozen
 class RolloutTold:
-    """A datagram to all daemons: where rollouts stand.  It renews what they may send."""
+    """Datagram to all daemons with the state of rollouts; it renews their leases."""
 
     #: The rollouts.
     rollouts: tuple[Rollout, ...]
@@ -122,43 +121,43 @@
 
 @frozen
 class ReportRow:
-    """What one daemon has seen of one version on one route since the order, counts that grow."""
+    """Cumulative results of one daemon's calls to one version on one route since the order."""
 
-    #: Name of the route; empty for those beyond the most used.
+    #: Name of the route; empty for those beyond the separately counted ones.
     route: str
-    #: Which version, a `Side`.
+    #: The version, a `Side`.
     side: int = field(validator=in_(frozenset(Side)))
-    #: Calls that have ended at a target.
+    #: Calls that ended at a target.
     answers: int = field(validator=ge(0))
-    #: Those that failed: answers of failure, broken or silent ones.
+    #: Calls that failed: error responses, broken responses and missing ones.
     bad: int = field(validator=ge(0))
-    #: How many took how long, by the buckets of `bucket_of`.
+    #: Successful calls by latency bucket, see `bucket_of`.
     times: list[int]
-    #: How many run now, and for how long already, by the same buckets.
+    #: Running calls by the bucket of their age.
     running: list[int]
 
 
 @frozen
 class RolloutReport:
-    """A datagram to the daemon that leads: what one daemon has seen and done."""
+    """Datagram to the leading daemon with the results of one daemon's calls."""
 
     #: Name of the host.
     host: str
-    #: Incarnation of its daemon; counts start anew with each.
+    #: Incarnation of its daemon; counts start from zero with each.
     incarnation: int
-    #: The service.
+    #: Name of the service.
     service: str
-    #: Place of the order.
+    #: Position of the order.
     order: int
-    #: The stage that this daemon has heard of; from `FULL` on it sends nothing to the old version.
+    #: The latest stage known to this daemon; from `FULL` on it sends no calls to the old version.
     stage: int
-    #: Calls from here that have ended at a target, of either version.
+    #: Calls of this daemon that ended at a target of either version.
     total: int
-    #: Calls from here that were sent to the new version.
+    #: Calls of this daemon that were sent to the new version.
     spent: int
-    #: Calls from here that run at the old version now.
+    #: Calls of this daemon that run at the old version.
     base_running: int
-    #: What was seen, by route and version.
+    #: Results by route and version.
     rows: tuple[ReportRow, ...]
     #: Targets of the new version that have failed a call, as short hashes of their hosts' names.
     bad_hosts: list[int]
@@ -166,9 +165,9 @@
 
 @frozen
 class RolloutAsk:
-    """A datagram of a daemon that has just started: where do rollouts stand?"""
+    """Datagram of a starting daemon that requests the state of rollouts."""
 
-    #: Name of the host that asks.
+    #: Name of the host that sends the request.
     host: str
 
 
--- a/packages/rollouts/tests/count_judge.py
+++ b/packages/rollouts/tests/count_judge.py
@@ -1,14 +1,14 @@
-"""The other way of judging versions that was measured: a fixed count and a fixed share."""
+"""The rejected way of judging versions, for comparison: a fixed count and a fixed share."""
 
 from __future__ import annotations
 
 from typing import Final
 
-from acaciayard_rollouts import LEAST_BASE, Evidence, Judge, Regression, slow_bucket
+from acaciayard_rollouts import MIN_BASE_ANSWERS, Evidence, Judge, Regression, slow_bucket
 
 
 class CountJudge(Judge):
-    """Turns back after a fixed number of bad answers and a fixed share of them."""
+    """Condemns a version after a fixed number and share of bad answers."""
 
     _BAD: Final = 10
     _SHARE: Final = 0.1
@@ -18,7 +18,7 @@
             new = pair.new
             if new.bad >= self._BAD and new.bad > self._SHARE * new.answers:
                 return Regression("failures", route, new.bad, new.answers, self._SHARE)
-            if sum(pair.base.times) < LEAST_BASE:
+            if sum(pair.base.times) < MIN_BASE_ANSWERS:
                 continue
             slow = sum(pair.new.times[slow_bucket(pair.base) :])
             if slow >= self._BAD and slow > self._SHARE * sum(new.times):
--- a/packages/rollouts/tests/rollout_model.py
+++ b/packages/rollouts/tests/rollout_model.py
@@ -1,8 +1,8 @@
-"""Many daemons that move a service to a new version, without network or real time.
+"""Simulates a rollout over many daemons, without network or real time.
 
-The real `RolloutBook` of each daemon and the real `Conductor` of the first run on a clock of the
-model.  Word between them is late and sometimes lost; calls, targets, the store and what is wrong
-with either version are modelled.
+The real `RolloutBook` of each daemon and the real `Conductor` of the first one run on a simulated
+clock. Messages between them are delayed and sometimes lost. Calls, targets, the store and the
+faults of either version are simulated.
 
     python packages/rollouts/tests/rollout_model.py 40      # the tables of the design note
 """
@@ -21,7 +21,7 @@
 
 from attrs import define
 from count_judge import CountJudge
-from rollout_troubles import BACKGROUNDS, BAD, TARGETS, Call, Trouble
+from rollout_faults import BACKGROUNDS, BAD, TARGETS, Call, Fault
 
 from acaciayard_rollouts import (
     ANY_VERSION,
@@ -43,28 +43,28 @@
 from acaciayard_timers import ManualTimers
 
 SERVICE = "quotes"
-#: The shape of the deployment on which orders were first seen: 80 daemons, 14 calls a second and
-#: daemon, half of the calls on each of two routes, 14 s.
+#: The shape of the first deployment with rollout orders: 80 daemons, 14 calls a second per daemon,
+#: half of the calls on each of two routes, and orders of 14 s.
 DAEMONS = 80
 RATE = 14.0
 DURATION = 14.0
 SHARE = 0.1
 SLACK = 50
 ROUTES = ("read", "file")
-#: Seconds after the fiftieth bad answer from which a bad version gets nothing.
+#: Seconds after the fiftieth bad answer from which a bad version must get no calls.
 ROLLBACK_WITHIN = 5.0
 
 
 class Clock(ManualTimers):
-    """Time that the model sets."""
+    """A clock that the simulation sets."""
 
     def set(self, now: float) -> None:
-        """It is `now`."""
+        """Set the current time."""
         self._now = now
 
 
 class Store(StatusStore):
-    """Keeps statuses; may be unavailable for a while."""
+    """Keeps statuses in memory; may be unavailable for a while."""
 
     def __init__(self) -> None:
         self.written: list[RolloutStatus] = []
@@ -85,37 +85,37 @@
 
 @define(eq=False)
 class Outcome:
-    """What has come of one order."""
+    """The result of one order."""
 
-    #: Where it ended.
+    #: Final phase.
     phase: Phase = Phase.RUNNING
-    #: When, in seconds since the order.
+    #: Time of the decision in seconds since the order.
     decided: float = 0.0
-    #: Calls that reached the service, and those of them at the new version.
+    #: Calls that reached the service, and those of them sent to the new version.
     calls: int = 0
     exposed: int = 0
-    #: Calls that were refused since neither version might take them.
+    #: Calls refused because neither version could take them.
     refused: int = 0
-    #: Bad answers of the version itself.
+    #: Bad answers caused by the version itself.
     bad: int = 0
-    #: When the fiftieth came, and when the last call was sent to the new version.
-    fiftieth: float = float("inf")
+    #: Times of the fiftieth bad answer and of the last call to the new version.
+    fiftieth_bad_at: float = float("inf")
     last_sent: float = 0.0
-    #: Calls that ran at the old version when the success was written, or came there later.
-    left_behind: int = 0
+    #: Calls that ran at the old version when the success was written, or started there later.
+    old_version_calls: int = 0
 
     @property
-    def keeps_exposure(self) -> bool:
-        """Whether a bad version got no more than it may."""
-        is_stopped = self.last_sent <= self.fiftieth + ROLLBACK_WITHIN
+    def is_within_exposure(self) -> bool:
+        """Whether the calls to a bad version stayed within the allowed exposure."""
+        is_stopped = self.last_sent <= self.fiftieth_bad_at + ROLLBACK_WITHIN
         return self.exposed <= SHARE * self.calls + SLACK and is_stopped
 
 
 class Model:
-    """One order, from its arrival to two seconds after its time."""
+    """One order, from its arrival to two seconds after its end."""
 
     def __init__(
-        self, version: Trouble, background: Trouble, *, seed: int, judge: Judge | None = None
+        self, version: Fault, background: Fault, *, seed: int, judge: Judge | None = None
     ) -> None:
         self._version = version
         self._background = background
@@ -150,7 +150,7 @@
         )
 
     def run(self) -> Outcome:
-        """Play the order."""
+        """Run the simulation."""
         self._conductor.take_order(RolloutOrder(SERVICE, "v2", DURATION, 1))
         for number in range(DAEMONS):
             self._at(self._seed.expovariate(RATE), lambda number=number: self._arrive(number))
@@ -177,11 +177,11 @@
         self._at(self._seed.uniform(0, period), repeat)
 
     def _send(self, event: Callable[[], None]) -> None:
-        """Something comes to another daemon, late, or one time in fifty not at all."""
+        """Deliver an event to another daemon with a delay, or lose it in one of fifty cases."""
         if self._seed.random() > 0.02:
             self._at(self._clock.now() + self._seed.uniform(0.001, 0.05), event)
 
-    # --- control ------------------------------------------------------------------------------
+    # --- control plane ----------------------------------------------------------------------------
 
     def _tell(self) -> None:
         told = self.books[0].all
@@ -190,7 +190,7 @@
             self._send(lambda book=book: book.merge(told, source="member"))
 
     def _report_on(self, number: int) -> None:
-        """Report again and again, more often once all calls are moved."""
+        """Report repeatedly, more often once all calls are moved."""
         self._report(number)
         rollout = self.books[number].find(SERVICE)
         is_full = rollout is not None and rollout.stage == Stage.FULL
@@ -213,16 +213,16 @@
             self.outcome.phase = Phase(now.phase)
             self.outcome.decided = self._clock.now()
             if now.phase == Phase.SUCCEEDED:
-                self.outcome.left_behind = self._base_running
+                self.outcome.old_version_calls = self._base_running
 
-    # --- calls --------------------------------------------------------------------------------
+    # --- calls ------------------------------------------------------------------------------------
 
     def _arrive(self, number: int) -> None:
         now = self._clock.now()
         self._at(now + self._seed.expovariate(RATE), lambda: self._arrive(number))
         book = self.books[number]
         versions = book.versions(SERVICE)
-        # One that has not heard of the order yet sends to the version that most targets run.
+        # A daemon that doesn't know the order yet uses the version that most targets run.
         is_new = versions is not ANY_VERSION and versions.admits("v2")
         side = Side.NEW if is_new else Side.BASE
         if side is Side.BASE and not versions.admits("v1"):
@@ -245,33 +245,35 @@
         if recent > 200:
             self._recent = Counter({each: count // 2 for each, count in self._recent.items()})
         call = Call(route, target, side, now, share)
-        own, around = (t(call, self._seed) for t in (self._version, self._background))
+        result, disturbance = (t(call, self._seed) for t in (self._version, self._background))
         if now <= DURATION:
             outcome.calls += 1
             outcome.exposed += side is Side.NEW
         if side is Side.NEW:
             outcome.last_sent = now
         elif outcome.phase is Phase.SUCCEEDED:
-            outcome.left_behind += 1
+            outcome.old_version_calls += 1
         speed = (0.5, 1.0, 1.0, 1.5)[zlib.crc32(b"%d" % target) % 4]
-        takes = self._seed.lognormvariate(-1.9, 0.5) / speed * own.slower * around.slower
+        duration = (
+            self._seed.lognormvariate(-1.9, 0.5) / speed * result.slowdown * disturbance.slowdown
+        )
         is_base = side is Side.BASE
         self._base_running += is_base
 
         def end() -> None:
             self._base_running -= is_base
             if run is not None:
-                run.end(is_bad=own.is_bad or around.is_bad)
-            if own.by_version:
+                run.end(is_bad=result.is_bad or disturbance.is_bad)
+            if result.is_caused_by_version:
                 outcome.bad += 1
                 if outcome.bad == 50:
-                    outcome.fiftieth = self._clock.now()
+                    outcome.fiftieth_bad_at = self._clock.now()
 
-        self._at(now + min(takes, 1.75), end)
+        self._at(now + min(duration, 1.75), end)
 
 
 def tables(seeds: int) -> None:
-    """Print both errors, exposure and times, for both judges and both schedules."""
+    """Print the rates of both errors, exposure and times, for both judges and both schedules."""
     for judge, trial in ((SequentialJudge(), 0.2), (CountJudge(), 0.2), (SequentialJudge(), 0.6)):
         print(f"\n{type(judge).__name__}, trial takes {trial:g} of the exposure, {seeds} seeds")
         with mock.patch("acaciayard_rollouts._book._TRIAL_SHARE", trial):
@@ -281,14 +283,14 @@
                 _print_row(f"good, {name}", BACKGROUNDS["nothing"], background, judge, seeds)
 
 
-def _print_row(name: str, version: Trouble, background: Trouble, judge: Judge, seeds: int) -> None:
+def _print_row(name: str, version: Fault, background: Fault, judge: Judge, seeds: int) -> None:
     found = [Model(version, background, seed=n, judge=judge).run() for n in range(seeds)]
     ends = Counter(each.phase.name.lower() for each in found)
-    kept = sum(each.keeps_exposure for each in found)
+    kept = sum(each.is_within_exposure for each in found)
     decided = sorted(each.decided for each in found)[len(found) // 2]
     exposed = max(each.exposed / max(1, each.calls) for each in found)
     refused = sum(each.refused for each in found) / len(found)
-    left = max(each.left_behind for each in found)
+    left = max(each.old_version_calls for each in found)
     print(
         f"{name:38} {dict(ends)!s:42} exposure kept {kept:3}, most {exposed:.3f}, "
         f"decided {decided:5.1f} s, refused {refused:5.0f}, left behind {left}"
--- a/packages/rollouts/tests/test_conductor.py
+++ b/packages/rollouts/tests/test_conductor.py
@@ -1,4 +1,4 @@
-"""Decisions on a rollout, and what the store is told, by one daemon that leads after another."""
+"""Decisions on a rollout and writes of its status, by successive leaders."""
 
 from __future__ import annotations
 
@@ -34,13 +34,13 @@
 
 
 class Store(StatusStore):
-    """A store whose writes may be lost on the way there, or their answers on the way back."""
+    """A store that may lose writes, or the responses to writes."""
 
     def __init__(self) -> None:
         self.written: list[RolloutStatus] = []
         self.is_down = False
         self.loses_answers = False
-        #: Writes that the store will see later, each on its condition.
+        #: Delayed writes with their conditions.
         self.late: list[tuple[RolloutStatus, int]] = []
         self.holds_writes = False
 
@@ -61,7 +61,7 @@
         return StatusLost("no answer") if self.loses_answers else True
 
     def deliver_late(self) -> None:
-        """What was held comes now."""
+        """Apply the delayed writes."""
         for status, position in self.late:
             if position == len(self.written):
                 self.written.append(status)
@@ -73,7 +73,7 @@
 
 
 class Mesh:
-    """Three daemons, of which any may lead."""
+    """Three daemons, any of which may lead."""
 
     def __init__(self) -> None:
         self.clock = ManualTimers()
@@ -86,7 +86,7 @@
         self.book, self.conductor = self.lead()
 
     def lead(self) -> tuple[RolloutBook, Conductor]:
-        """A daemon that leads, which knows nothing yet."""
+        """Create a leader without any state."""
         book = RolloutBook(timers=self.clock, exposure_share=0.1, seed=random.Random(1))
         conductor = Conductor(
             book=book,
@@ -107,7 +107,7 @@
     def report(
         self, *, stage: Stage = Stage.TRIAL, bad: int = 0, running: int = 0, hosts: int = 2
     ) -> None:
-        """All report: 400 calls of the old version in time, 40 of the new one."""
+        """Report from all daemons: 400 calls of the old version in time, 40 of the new one."""
         times = [0] * 16
         times[8] = 400
         few = [0] * 16
@@ -132,7 +132,7 @@
             )
 
     async def look(self) -> None:
-        """One round of the daemon that leads."""
+        """Run one round of the leader."""
         self.conductor.look()
         await self.conductor.settle()
 
@@ -156,13 +156,13 @@
         await self.mesh.look()
 
     async def to_full(self) -> None:
-        """All calls are moved."""
+        """Advance until all calls are moved."""
         await self.mesh.clock.advance(11.5)
         self.mesh.report()
         await self.mesh.look()
         self.assertEqual(self.mesh.stage, Stage.FULL)
 
-    async def test_a_good_version_succeeds_once_nothing_runs_at_the_old_one(self) -> None:
+    async def test_good_version_succeeds_once_no_call_runs_at_the_old_one(self) -> None:
         self.assertEqual(self.mesh.store.phases, [Phase.RUNNING])
         await self.to_full()
         self.mesh.report(stage=Stage.FULL, running=1)
@@ -174,7 +174,7 @@
         self.assertEqual(self.mesh.phase, Phase.SUCCEEDED)
         self.assertEqual(self.mesh.store.phases, [Phase.RUNNING, Phase.SUCCEEDED])
 
-    async def test_what_was_reported_before_the_new_version_had_all_calls_proves_nothing(
+    async def test_reports_from_before_the_full_stage_do_not_count(
         self,
     ) -> None:
         await self.to_full()
@@ -183,14 +183,14 @@
         await self.mesh.look()
         self.assertEqual(self.mesh.phase, Phase.RUNNING)
 
-    async def test_calls_are_not_moved_where_there_is_no_room_for_them(self) -> None:
+    async def test_calls_are_not_moved_without_enough_slots(self) -> None:
         self.mesh.slots["v2"] = 8
         await self.mesh.clock.advance(11.5)
         self.mesh.report()
         await self.mesh.look()
         self.assertEqual(self.mesh.stage, Stage.TRIAL)
 
-    async def test_a_daemon_that_has_not_said_so_holds_the_success_back(self) -> None:
+    async def test_success_waits_for_the_report_of_each_daemon(self) -> None:
         await self.to_full()
         await self.mesh.clock.advance(1.0)
         self.mesh.report(stage=Stage.FULL)
@@ -202,7 +202,7 @@
         await self.mesh.look()
         self.assertEqual(self.mesh.phase, Phase.SUCCEEDED)
 
-    async def test_a_few_that_are_cut_off_together_decide_no_success(self) -> None:
+    async def test_partitioned_minority_decides_no_success(self) -> None:
         await self.to_full()
         await self.mesh.clock.advance(1.0)
         self.mesh.report(stage=Stage.FULL)
@@ -210,7 +210,7 @@
         await self.mesh.look()
         self.assertEqual(self.mesh.phase, Phase.RUNNING)
 
-    async def test_a_bad_version_is_taken_back_at_once_also_while_the_store_is_down(self) -> None:
+    async def test_bad_version_is_rolled_back_at_once_while_the_store_is_down(self) -> None:
         self.mesh.store.is_down = True
         self.mesh.report(bad=12)
         self.mesh.conductor.look()
@@ -221,18 +221,18 @@
         self.assertEqual(self.mesh.store.phases, [Phase.RUNNING, Phase.ROLLED_BACK])
         self.assertTrue(self.mesh.conductor.is_settled)
 
-    async def test_failures_of_one_target_condemn_no_version(self) -> None:
+    async def test_failures_of_one_target_do_not_condemn_the_version(self) -> None:
         self.mesh.report(bad=12, hosts=1)
         self.mesh.conductor.look()
         self.assertEqual(self.mesh.phase, Phase.RUNNING)
 
-    async def test_a_version_that_never_comes_is_given_up_in_time(self) -> None:
+    async def test_version_that_never_starts_is_rolled_back_in_time(self) -> None:
         await self.mesh.clock.advance(13.7)
         await self.mesh.look()
         self.assertEqual(self.mesh.phase, Phase.ROLLED_BACK)
         self.assertEqual(self.mesh.store.phases[-1], Phase.ROLLED_BACK)
 
-    async def test_another_daemon_goes_on_from_what_all_know(self) -> None:
+    async def test_new_leader_continues_from_shared_state(self) -> None:
         await self.to_full()
         known = self.mesh.book.all
         self.mesh.book, self.mesh.conductor = self.mesh.lead()
@@ -243,7 +243,7 @@
         await self.mesh.look()
         self.assertEqual(self.mesh.store.phases, [Phase.RUNNING, Phase.SUCCEEDED])
 
-    async def test_the_two_ends_exclude_each_other(self) -> None:
+    async def test_final_phases_exclude_each_other(self) -> None:
         await self.to_full()
         await self.mesh.clock.advance(1.0)
         self.mesh.report(stage=Stage.FULL)
@@ -259,7 +259,7 @@
         assert found is not None
         self.assertEqual(found.phase, Phase.SUCCEEDED)
 
-    async def test_an_answer_that_was_lost_is_asked_for(self) -> None:
+    async def test_status_is_read_again_after_a_lost_response(self) -> None:
         await self.to_full()
         await self.mesh.clock.advance(1.0)
         self.mesh.report(stage=Stage.FULL)
@@ -270,7 +270,7 @@
         self.assertEqual(self.mesh.store.phases, [Phase.RUNNING, Phase.SUCCEEDED])
         self.assertEqual(self.mesh.phase, Phase.SUCCEEDED)
 
-    async def test_a_write_that_comes_late_undoes_nothing(self) -> None:
+    async def test_delayed_write_has_no_effect(self) -> None:
         await self.to_full()
         await self.mesh.clock.advance(0.8)
         self.mesh.report(stage=Stage.FULL)
@@ -285,23 +285,23 @@
         self.mesh.store.deliver_late()
         self.assertEqual(self.mesh.store.phases, [Phase.RUNNING, Phase.ROLLED_BACK])
 
-    async def test_a_later_order_takes_the_place_of_the_first(self) -> None:
+    async def test_later_order_replaces_the_first(self) -> None:
         self.mesh.conductor.take_order(RolloutOrder(SERVICE, "v3", 10.0, 9))
         await self.mesh.look()
         found = self.mesh.book.find(SERVICE)
         assert found is not None
         self.assertEqual((found.version, found.base, found.phase), ("v3", "v1", Phase.RUNNING))
         self.assertFalse(self.mesh.book.versions(SERVICE).admits("v2"))
-        self.mesh.conductor.take_order(ORDER)  # read again, late
+        self.mesh.conductor.take_order(ORDER)  # the order is read again, late
         self.assertEqual(found.version, "v3")
 
-    async def test_one_that_does_not_lead_decides_nothing(self) -> None:
+    async def test_daemon_that_does_not_lead_decides_nothing(self) -> None:
         self.mesh.leads = False
         self.mesh.report(bad=20)
         await self.mesh.look()
         self.assertEqual(self.mesh.phase, Phase.RUNNING)
 
-    async def test_where_the_store_has_the_end_a_daemon_that_starts_takes_it(self) -> None:
+    async def test_started_daemon_adopts_the_final_phase_from_the_store(self) -> None:
         self.mesh.store.written.append(RolloutStatus(SERVICE, "v2", Phase.ROLLED_BACK, 7))
         self.mesh.book, self.mesh.conductor = self.mesh.lead()
         self.mesh.conductor.take_order(ORDER)
@@ -309,7 +309,7 @@
         self.assertEqual(self.mesh.phase, Phase.ROLLED_BACK)
 
     async def _run_with_clock(self, work: Coroutine[Any, Any, None]) -> None:
-        """Run a coroutine that waits between its tries."""
+        """Run a coroutine that sleeps between its attempts."""
         task = asyncio.ensure_future(work)
         while not task.done():
             await self.mesh.clock.advance(0.05)
--- a/packages/rollouts/tests/test_exposure.py
+++ b/packages/rollouts/tests/test_exposure.py
@@ -1,4 +1,4 @@
-"""Exposure keeps its bound whatever happens to any daemon, and whoever hears what when."""
+"""Exposure stays within its bound under restarts, lost updates and any order of events."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 SERVICE = "quotes"
 ORDER = Rollout(SERVICE, version="v2", base="v1", order=1, duration_s=14.0)
 
-#: What may happen: to which daemon, and what.
+#: Events, each with the daemon that it happens to.
 STEPS = st.lists(
     st.tuples(
         st.integers(0, 4),
@@ -36,7 +36,7 @@
 
 
 class Daemon:
-    """One daemon, which forgets all when it is started again."""
+    """One daemon, which loses its state when restarted."""
 
     def __init__(self, clock: ManualTimers, seed: int) -> None:
         self._clock = clock
@@ -46,12 +46,12 @@
         self.restart()
 
     def restart(self) -> None:
-        """All is forgotten; what was sent stays sent."""
+        """Drop all state; calls that were sent still count."""
         self.book = RolloutBook(timers=self._clock, exposure_share=SHARE, seed=self._seed)
         self.runs: list[tuple[Side, RolloutRun]] = []
 
     def call(self) -> None:
-        """A call comes; it goes where the book lets it go."""
+        """Send a call to the version that the book allows."""
         versions = self.book.versions(SERVICE)
         if versions.side is None:
             return
@@ -65,7 +65,7 @@
 
 class ExposureTest(unittest.TestCase):
     @given(STEPS)
-    def test_the_sum_over_all_daemons_keeps_the_share(
+    def test_total_exposure_of_all_daemons_stays_within_the_share(
         self, steps: list[tuple[int, str, Stage]]
     ) -> None:
         clock = ManualTimers()
@@ -92,7 +92,7 @@
             answered = sum(each.answered for each in daemons)
             self.assertLessEqual(sum(each.exposed for each in daemons), SHARE * answered)
 
-    def test_a_version_on_trial_gets_some_calls(self) -> None:
+    def test_version_on_trial_gets_some_calls(self) -> None:
         daemon = Daemon(ManualTimers(), 1)
         daemon.book.merge([ORDER], source="member")
         for _ in range(2000):
@@ -111,12 +111,12 @@
         assert run is not None
         run.end(is_bad=False)
 
-    async def test_without_word_the_new_version_gets_nothing_more(self) -> None:
+    async def test_new_version_gets_no_calls_after_its_lease(self) -> None:
         self.assertTrue(self.book.versions(SERVICE).admits("v2"))
         await self.clock.advance(NEW_LEASE + 0.1)
         self.assertFalse(self.book.versions(SERVICE).admits("v2"))
 
-    async def test_without_word_for_longer_the_old_version_gets_nothing_either(self) -> None:
+    async def test_old_version_gets_no_calls_after_its_lease(self) -> None:
         book = RolloutBook(timers=self.clock, exposure_share=0.1)
         book.merge([ORDER], source="member")
         await self.clock.advance(BASE_LEASE - 0.1)
@@ -127,18 +127,18 @@
         book.merge([ORDER], source="member")
         self.assertTrue(book.versions(SERVICE).admits("v1"))
 
-    async def test_once_all_are_moved_the_old_version_gets_nothing(self) -> None:
+    async def test_old_version_gets_no_calls_in_the_full_stage(self) -> None:
         versions = self.book.versions(SERVICE)
         self.assertFalse(versions.admits("v1"))
 
-    async def test_older_word_renews_nothing(self) -> None:
+    async def test_outdated_update_renews_no_lease(self) -> None:
         await self.clock.advance(NEW_LEASE + 0.1)
         self.book.merge([ORDER], source="member")
         self.assertFalse(self.book.versions(SERVICE).admits("v2"))
 
 
-class WordTest(unittest.TestCase):
-    """Which word of a rollout wins, in whatever order it comes."""
+class UpdateTest(unittest.TestCase):
+    """Merging updates on a rollout gives the same result in any order."""
 
     WORDS = (
         ORDER,
@@ -149,29 +149,29 @@
     )
 
     @given(st.permutations(WORDS))
-    def test_the_newest_order_wins(self, words: list[Rollout]) -> None:
+    def test_newest_order_wins(self, updates: list[Rollout]) -> None:
         book = RolloutBook(timers=ManualTimers(), exposure_share=0.1)
-        for word in words:
-            book.merge([word], source="member")
+        for update in updates:
+            book.merge([update], source="member")
         found = book.find(SERVICE)
         assert found is not None
         self.assertEqual((found.order, found.version), (2, "v3"))
 
     @given(st.permutations(WORDS[:3]))
-    def test_a_version_that_was_taken_back_stays_so(self, words: list[Rollout]) -> None:
+    def test_rolled_back_version_stays_rolled_back(self, updates: list[Rollout]) -> None:
         book = RolloutBook(timers=ManualTimers(), exposure_share=1.0)
-        for word in words:
-            book.merge([word], source="member")
+        for update in updates:
+            book.merge([update], source="member")
         self.assertFalse(book.versions(SERVICE).admits("v2"))
         self.assertTrue(book.versions(SERVICE).admits("v1"))
 
-    def test_after_the_success_the_old_version_gets_nothing(self) -> None:
+    def test_old_version_gets_no_calls_after_the_success(self) -> None:
         book = RolloutBook(timers=ManualTimers(), exposure_share=0.1)
         book.merge([ORDER.with_changes(phase=int(Phase.SUCCEEDED))], source="store")
         self.assertFalse(book.versions(SERVICE).admits("v1"))
         self.assertTrue(book.versions(SERVICE).admits("v2"))
 
-    def test_without_an_order_nothing_is_held_back(self) -> None:
+    def test_any_version_is_allowed_without_an_order(self) -> None:
         book = RolloutBook(timers=ManualTimers(), exposure_share=0.0)
         self.assertTrue(book.versions(SERVICE).admits("v7"))
         self.assertIsNone(book.begin(SERVICE, "r", version="v7", host="h"))
--- a/packages/rollouts/tests/test_judges.py
+++ b/packages/rollouts/tests/test_judges.py
@@ -1,7 +1,7 @@
-"""Bad versions are found within their exposure, and good ones are not turned back.
+"""Bad versions are found within their exposure, and good ones are not rolled back.
 
-The pattern is an order on 80 daemons and 140 targets with 14 calls a second and daemon, the shape
-and the times of the operators' deployment on which orders were first seen.
+The model is an order on 80 daemons and 140 targets with 14 calls a second per daemon: the shape and
+the times of the first deployment with rollout orders.
 """
 
 from __future__ import annotations
@@ -9,8 +9,8 @@
 import random
 import unittest
 
+from rollout_faults import BACKGROUNDS, BAD
 from rollout_model import Model
-from rollout_troubles import BACKGROUNDS, BAD
 
 from acaciayard_rollouts import (
     Evidence,
@@ -23,7 +23,7 @@
 
 
 def counts(answers: int, bad: int, seconds: float = 0.2) -> SideCounts:
-    """So many answers, the good ones in so many seconds."""
+    """Counts of `answers` calls of which `bad` failed; the others took `seconds` each."""
     found = SideCounts()
     for number in range(answers):
         found.note(seconds, is_bad=number < bad)
@@ -36,17 +36,17 @@
 
 
 class SequentialJudgeTest(unittest.TestCase):
-    def test_failures_beyond_those_of_the_old_version_condemn(self) -> None:
+    def test_more_failures_than_the_old_version_condemn(self) -> None:
         judge = SequentialJudge()
         self.assertIsNone(judge.regression(evidence(counts(400, 2), counts(40, 1))))
         found = judge.regression(evidence(counts(400, 2), counts(40, 12)))
         assert found is not None
         self.assertEqual((found.what, found.bad, found.answers), ("failures", 12, 40))
 
-    def test_what_strikes_both_condemns_neither(self) -> None:
+    def test_faults_of_both_versions_condemn_neither(self) -> None:
         self.assertIsNone(SequentialJudge().regression(evidence(counts(400, 60), counts(40, 8))))
 
-    def test_slow_answers_condemn_once_the_old_times_are_known(self) -> None:
+    def test_slow_answers_condemn_once_the_old_latencies_are_known(self) -> None:
         judge = SequentialJudge()
         slow = counts(30, 0, seconds=1.0)
         found = judge.regression(evidence(counts(400, 0), slow))
@@ -54,15 +54,15 @@
         self.assertEqual(found.what, "slow")
         self.assertIsNone(judge.regression(evidence(counts(20, 0), slow)))
 
-    def test_calls_that_are_not_answered_yet_tell_as_well(self) -> None:
+    def test_unanswered_calls_count_as_slow(self) -> None:
         new = counts(10, 0)
         new.running[bucket_of(1.0)] = 25
         found = SequentialJudge().regression(evidence(counts(400, 0), new))
         assert found is not None
         self.assertEqual(found.what, "slow")
 
-    def test_a_good_version_is_turned_back_in_one_trial_of_a_thousand_at_most(self) -> None:
-        """Looked at after each answer, as long as a trial may last."""
+    def test_good_version_is_rolled_back_in_at_most_one_trial_of_a_thousand(self) -> None:
+        """Checked after each answer, for as long as a trial may last."""
         seed = random.Random(1)
         judge = SequentialJudge()
         turned_back = 0
@@ -76,21 +76,21 @@
         self.assertLessEqual(turned_back, 1)
 
 
-class OrdersTest(unittest.TestCase):
-    def test_no_bad_version_succeeds_and_all_keep_their_exposure(self) -> None:
+class SimulatedOrderTest(unittest.TestCase):
+    def test_bad_versions_fail_within_their_exposure(self) -> None:
         for name, version in BAD.items():
             for seed in range(2):
                 with self.subTest(name, seed=seed):
                     outcome = Model(version, BACKGROUNDS["nothing"], seed=seed).run()
                     self.assertEqual(outcome.phase, Phase.ROLLED_BACK)
-                    self.assertTrue(outcome.keeps_exposure)
+                    self.assertTrue(outcome.is_within_exposure)
 
-    def test_good_versions_succeed_beside_what_strikes_both(self) -> None:
+    def test_good_versions_succeed_despite_faults_of_both(self) -> None:
         for name, background in BACKGROUNDS.items():
             with self.subTest(name):
                 outcome = Model(BACKGROUNDS["nothing"], background, seed=3).run()
                 self.assertEqual(outcome.phase, Phase.SUCCEEDED)
-                self.assertEqual(outcome.left_behind, 0)
+                self.assertEqual(outcome.old_version_calls, 0)
 
 
 if __name__ == "__main__":
--- a/packages/rollouts/tests/test_order_life.py
+++ b/packages/rollouts/tests/test_order_life.py
@@ -1,8 +1,8 @@
-"""The life of an order among daemons that lead, are cut off, start anew, and a store that fails.
+"""A rollout order under leader changes, partitions, restarts and a failing store.
 
-Whatever happens in whatever order: the store never has both ends of one order; a version gets
-nothing before its order and after it was taken back; and once the store has the success, no daemon
-sends the old version anything.
+Whatever the sequence of events: the store never holds both final phases of one order; a version
+gets no calls before its order or after its rollback; and once the store holds the success, no
+daemon sends a call to the old version.
 """
 
 from __future__ import annotations
@@ -37,10 +37,10 @@
 
 
 class Clock(ManualTimers):
-    """Time that a test moves; waits between tries at the store take none."""
+    """A clock that the test advances; sleeping between attempts at the store takes no time."""
 
     def move(self, seconds: float) -> None:
-        """Some time passes."""
+        """Advance the clock."""
         self._now += seconds
 
     async def sleep(self, seconds: float) -> None:
@@ -48,7 +48,7 @@
 
 
 class Store(StatusStore):
-    """Loses calls, or their answers, and lets calls come late."""
+    """Loses requests or responses, and delays requests."""
 
     def __init__(self) -> None:
         self.written: list[RolloutStatus] = []
@@ -72,13 +72,13 @@
         self.written.append(status)
         return StatusLost("no answer") if self.fault == "silent" else True
 
-    def ends(self) -> set[Phase]:
-        """The ends of the order that it holds or has held."""
+    def final_phases(self) -> set[Phase]:
+        """The final phases of the order that the store holds or has held."""
         return {each.phase for each in self.written} - {Phase.RUNNING}
 
 
 class Daemon:
-    """One daemon, with all that it forgets when it is started again."""
+    """One daemon, with all state that it loses when restarted."""
 
     def __init__(self, machine: OrderLife, number: int, incarnation: int) -> None:
         self.start = MemberStart(f"h{number}", incarnation)
@@ -104,7 +104,7 @@
 
 
 class OrderLife(RuleBasedStateMachine):
-    """One order."""
+    """State machine of one order."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -125,8 +125,8 @@
     def leads(self, daemon: Daemon) -> bool:
         return daemon is self.daemons[self.lead] and not daemon.is_cut
 
-    def tell(self) -> None:
-        """The daemon that leads tells those that it reaches, and hears their reports."""
+    def send_updates(self) -> None:
+        """The leader sends updates to the daemons that it reaches, and receives their reports."""
         lead = self.daemons[self.lead]
         if lead.is_cut:
             return
@@ -141,11 +141,11 @@
         if self.order is None:
             self.order = RolloutOrder(SERVICE, "v2", 14.0, 1)
             self.daemons[self.lead].conductor.take_order(self.order)
-            self.tell()
+            self.send_updates()
 
     @rule(number=NUMBERS, calls=st.integers(1, 60), is_bad=st.booleans())
     def calls(self, number: int, calls: int, is_bad: bool) -> None:
-        """Calls come and are answered; the new version may fail them."""
+        """Send calls and answer them; the new version may fail them."""
         daemon = self.daemons[number]
         for _ in range(calls):
             version = self.version_of(daemon)
@@ -170,7 +170,7 @@
 
     @staticmethod
     def version_of(daemon: Daemon) -> str:
-        """Where the next call of a daemon goes; empty for nowhere."""
+        """The version that the daemon's next call may use; empty for none."""
         versions = daemon.book.versions(SERVICE)
         if daemon.book.find(SERVICE) is None:
             return "v1"
@@ -181,56 +181,57 @@
         self.clock.move(seconds)
 
     @rule()
-    def lead_works(self) -> None:
+    def leader_acts(self) -> None:
         self.clock.move(0.2)
-        self.tell()
+        self.send_updates()
         lead = self.daemons[self.lead]
         lead.conductor.look()
-        self.tell()
+        self.send_updates()
         asyncio.run(lead.conductor.settle())
-        self.tell()
+        self.send_updates()
 
     @initialize(is_late=st.booleans(), cut=st.sets(NUMBERS), running=st.sets(NUMBERS))
     def starts(self, is_late: bool, cut: set[int], running: set[int]) -> None:
-        """In half of the runs most of the time is over, and all has gone well so far.
+        """In half of the runs most of the duration has passed without a fault.
 
-        Some daemons have calls at the old version, some are cut off just before all are moved.
+        Some daemons have calls at the old version, and some are cut off just before all calls are
+        moved.
         """
         if not is_late:
             return
         self.gives_order()
         for seconds in (3.8, 3.8, 3.2):
             self.clock.move(seconds)
-            self.tell()
+            self.send_updates()
             for number in range(DAEMONS):
                 self.calls(number, 200, False)
             if seconds == 3.2:
                 for number in running:
                     self.begins_call(number)
                 for number in cut:
-                    self.is_cut_off(number)
-            self.lead_works()
+                    self.is_partitioned(number)
+            self.leader_acts()
 
     @rule(number=NUMBERS)
-    def another_leads(self, number: int) -> None:
+    def leader_changes(self, number: int) -> None:
         self.lead = number
 
     @rule(number=NUMBERS)
-    def is_cut_off(self, number: int) -> None:
+    def is_partitioned(self, number: int) -> None:
         daemon = self.daemons[number]
         if not daemon.is_cut:
             daemon.is_cut = True
             self.gone[daemon.start] = self.clock.now()
 
     @rule(number=NUMBERS)
-    def comes_back(self, number: int) -> None:
+    def reconnects(self, number: int) -> None:
         self.daemons[number].is_cut = False
         self.gone.pop(self.daemons[number].start, None)
-        self.tell()
+        self.send_updates()
 
     @rule(number=NUMBERS)
-    def starts_anew(self, number: int) -> None:
-        """It asks one that runs, or reads the store, before it sends anything."""
+    def restarts(self, number: int) -> None:
+        """A restarted daemon queries another one or reads the store before it sends any call."""
         before = self.daemons[number]
         daemon = Daemon(self, number, before.start.incarnation + 1)
         self.gone.pop(before.start, None)
@@ -246,26 +247,26 @@
         self.store.fault = fault
 
     @rule()
-    def late_writes_come(self) -> None:
+    def delayed_writes_arrive(self) -> None:
         for status, position in self.store.late:
             if position == len(self.store.written):
                 self.store.written.append(status)
         self.store.late.clear()
 
     @invariant()
-    def the_ends_exclude_each_other(self) -> None:
-        assert len(self.store.ends()) <= 1, self.store.written
+    def final_phases_exclude_each_other(self) -> None:
+        assert len(self.store.final_phases()) <= 1, self.store.written
 
     @invariant()
-    def the_new_version_needs_an_order(self) -> None:
+    def new_version_needs_an_order(self) -> None:
         for each in self.daemons:
             rollout = each.book.find(SERVICE)
             if rollout is None or rollout.phase == Phase.ROLLED_BACK:
                 assert self.version_of(each) != "v2"
 
     @invariant()
-    def after_the_success_nothing_goes_to_the_old_version(self) -> None:
-        if Phase.SUCCEEDED not in self.store.ends():
+    def old_version_gets_no_calls_after_the_success(self) -> None:
+        if Phase.SUCCEEDED not in self.store.final_phases():
             return
         for each in self.daemons:
             if each.book.find(SERVICE) is not None:
--- a/packages/rollouts/tests/test_written_again.py
+++ b/packages/rollouts/tests/test_written_again.py
@@ -1,4 +1,4 @@
-"""An order that its operator writes again after the store came back from an older copy."""
+"""An order that its operator rewrites after the store was restored from an older copy."""
 
 from __future__ import annotations
 
@@ -37,10 +37,10 @@
 
 
 class Clock(ManualTimers):
-    """Time that a test moves; waits between tries at the store take none."""
+    """A clock that the test advances; sleeping between attempts at the store takes no time."""
 
     def move(self, seconds: float) -> None:
-        """Some time passes."""
+        """Advance the clock."""
         self._now += seconds
 
     async def sleep(self, seconds: float) -> None:
@@ -48,7 +48,7 @@
 
 
 class Store(StatusStore):
-    """The statuses of one service, in a store that may come back from an older copy."""
+    """The statuses of one service, in a store that may be restored from an older copy."""
 
     def __init__(self) -> None:
         self.written: list[RolloutStatus] = []
@@ -67,12 +67,12 @@
         return True
 
     def rewind(self, length: int) -> None:
-        """Come back with the first statuses only."""
+        """Restore a copy that holds the first statuses only."""
         del self.written[length:]
         self.era += 1
 
     def write_late(self, status: RolloutStatus, *, offset: int) -> None:
-        """A write of an earlier era comes, on a condition that names an offset alone."""
+        """Apply a write of an earlier era, whose condition names an offset only."""
         if offset == len(self.written):
             self.written.append(status)
 
@@ -81,7 +81,7 @@
         return [status.phase for status in self.written]
 
 
-class WrittenAgainTest(unittest.TestCase):
+class RewrittenOrderTest(unittest.TestCase):
     def setUp(self) -> None:
         self.clock = Clock()
         self.store = Store()
@@ -89,7 +89,7 @@
         self.book, self.conductor = self.daemon()
 
     def daemon(self) -> tuple[RolloutBook, Conductor]:
-        """A daemon that leads and knows nothing yet."""
+        """Create a leader without any state."""
         book = RolloutBook(
             timers=self.clock, exposure_share=0.1, seed=random.Random(1), tell=self.news.append
         )
@@ -113,7 +113,7 @@
         asyncio.run(self.conductor.settle())
 
     def end(self, phase: Phase) -> None:
-        """The order ends, and the store acknowledges it."""
+        """End the order in a phase that the store acknowledges."""
         self.settle()
         rollout = self.now
         self.book.merge([rollout.with_changes(phase=int(phase))], source="verdict")
@@ -129,9 +129,9 @@
         assert found is not None
         return found
 
-    # --- the order ----------------------------------------------------------------------------
+    # --- the order --------------------------------------------------------------------------------
 
-    def test_it_is_the_same_order_and_its_end_holds(self) -> None:
+    def test_rewritten_order_keeps_its_final_phase(self) -> None:
         self.conductor.take_order(order(at(1, 17)))
         self.end(Phase.ROLLED_BACK)
         self.rewind(0)
@@ -141,7 +141,7 @@
         self.assertEqual(self.store.phases[-1], Phase.ROLLED_BACK)
         self.assertEqual(self.store.written[-1].order, at(2, 10))
 
-    def test_the_same_version_may_be_ordered_again_later(self) -> None:
+    def test_same_version_may_be_ordered_again_later(self) -> None:
         self.conductor.take_order(order(at(1, 17)))
         self.end(Phase.ROLLED_BACK)
         self.rewind(0)
@@ -149,7 +149,7 @@
         self.conductor.take_order(order(at(2, 12)))
         self.assertEqual((self.now.order, self.now.phase), (at(2, 12), Phase.RUNNING))
 
-    def test_it_keeps_its_age_what_was_sent_and_what_was_seen(self) -> None:
+    def test_rewritten_order_keeps_its_age_exposure_and_results(self) -> None:
         self.conductor.take_order(order(at(1, 17)))
         for _ in range(300):
             run = self.book.begin(SERVICE, "r", version="v1", host="x")
@@ -165,7 +165,7 @@
         self.assertEqual(self.now.age_s, 5.0)
         self.assertEqual(self.conductor.evidence(self.now).all_answers, 300)
 
-    def test_reports_by_its_former_position_count(self) -> None:
+    def test_reports_that_name_an_earlier_position_count(self) -> None:
         self.conductor.take_order(order(at(1, 17)))
         self.rewind(0)
         self.conductor.take_order(order(at(2, 10)))
@@ -173,9 +173,9 @@
         case = self.conductor._case(SERVICE, at(2, 10))
         self.assertIn(MemberStart("b", 1), case.reports)
 
-    # --- orders before it ---------------------------------------------------------------------
+    # --- earlier orders ---------------------------------------------------------------------------
 
-    def test_an_older_order_that_the_copy_shows_undoes_nothing(self) -> None:
+    def test_older_order_in_the_copy_has_no_effect(self) -> None:
         self.conductor.take_order(order(at(1, 5), "v1"))
         self.end(Phase.SUCCEEDED)
         self.conductor.take_order(order(at(1, 17)))
@@ -190,7 +190,7 @@
         self.conductor.take_order(order(at(2, 6)))
         self.assertEqual((self.now.order, self.now.phase), (at(2, 6), Phase.SUCCEEDED))
 
-    def test_one_that_this_daemon_has_not_read_before_waits_for_the_known_one(self) -> None:
+    def test_unread_older_order_is_held_for_the_known_one(self) -> None:
         told = Rollout(SERVICE, "v2", "v1", at(1, 17), 14.0, phase=int(Phase.SUCCEEDED))
         self.book.merge([told], source="member")
         self.conductor.take_order(order(at(2, 5), "v1"))
@@ -202,8 +202,8 @@
         self.conductor.look()
         self.assertEqual((self.now.order, self.now.phase), (at(2, 6), Phase.SUCCEEDED))
 
-    def test_one_that_has_a_status_is_older_however_long_the_operator_takes(self) -> None:
-        """For a daemon that leads and has not read it before."""
+    def test_order_with_a_status_is_older_however_long_the_operator_takes(self) -> None:
+        """For a leader that has not read the order before."""
         told = Rollout(SERVICE, "v2", "v1", at(1, 17), 14.0, phase=int(Phase.SUCCEEDED))
         self.book.merge([told], source="member")
         self.store.era = 2
@@ -213,7 +213,7 @@
         self.settle()
         self.assertEqual((self.now.version, self.now.phase), ("v2", Phase.SUCCEEDED))
 
-    def test_a_new_order_of_the_new_era_is_taken_with_its_age(self) -> None:
+    def test_new_order_of_the_new_era_begins_with_its_age(self) -> None:
         self.conductor.take_order(order(at(1, 17)))
         self.end(Phase.SUCCEEDED)
         self.rewind(0)
@@ -225,9 +225,9 @@
         self.assertEqual((self.now.version, self.now.phase), ("v3", Phase.RUNNING))
         self.assertEqual((self.now.age_s, self.now.follows), (4.5, at(1, 17)))
 
-    # --- other daemons ------------------------------------------------------------------------
+    # --- other daemons ----------------------------------------------------------------------------
 
-    def test_word_by_any_of_its_positions_is_about_it(self) -> None:
+    def test_update_may_name_any_position_of_the_order(self) -> None:
         early = Rollout(SERVICE, "v2", "v1", at(1, 17), 14.0)
         late = early.with_changes(order=at(2, 10))
         for first, second in ((early, late), (late, early)):
@@ -240,8 +240,8 @@
                     assert found is not None
                     self.assertEqual((found.order, found.phase), (at(2, 10), phase))
 
-    def test_word_by_the_former_position_of_an_order_that_followed_another(self) -> None:
-        """From a daemon that leads and has not noticed the new era yet."""
+    def test_update_that_names_an_earlier_position_of_a_successor_order(self) -> None:
+        """From a leader that has not noticed the new era yet."""
         before = Rollout(SERVICE, "v1", "v0", at(1, 5), 14.0, phase=int(Phase.SUCCEEDED))
         known = Rollout(SERVICE, "v2", "v1", at(1, 17), 14.0)
         moved = known.with_changes(order=at(2, 10))
@@ -249,8 +249,8 @@
             self.book.merge([told], source="member")
         self.assertEqual((self.now.order, self.now.phase), (at(2, 10), Phase.SUCCEEDED))
 
-    def test_word_of_an_older_order_that_a_copy_has_brought_back_is_passed_over(self) -> None:
-        """From a daemon that leads, and started after the order was followed by another."""
+    def test_update_on_a_superseded_order_from_the_copy_is_ignored(self) -> None:
+        """From a leader that started after the order was followed by another one."""
         older = Rollout(SERVICE, "v1", "v0", at(1, 5), 14.0, phase=int(Phase.SUCCEEDED))
         known = Rollout(SERVICE, "v2", "v1", at(1, 17), 14.0, phase=int(Phase.SUCCEEDED))
         back = older.with_changes(order=at(2, 5), phase=int(Phase.RUNNING))
@@ -260,8 +260,8 @@
         self.book.merge([known.with_changes(order=at(2, 6))], source="member")
         self.assertEqual((self.now.order, self.now.phase), (at(2, 6), Phase.SUCCEEDED))
 
-    def test_word_by_a_daemon_that_knows_no_later_order_waits_for_the_known_one(self) -> None:
-        """It started behind a cut, and read an older order from the copy."""
+    def test_update_by_a_daemon_without_the_known_order_is_held(self) -> None:
+        """The sender started behind a partition, and read an older order from the copy."""
         known = Rollout(SERVICE, "v2", "v1", at(1, 17), 14.0, phase=int(Phase.SUCCEEDED))
         back = Rollout(SERVICE, "v1", "v0", at(2, 5), 14.0)
         for told in (known, back):
@@ -269,19 +269,19 @@
         self.clock.move(3.0)
         self.book.merge([back], source="member")
         self.assertEqual(self.now.version, "v2")
-        self.clock.move(2.0)  # nothing was written again: it is a new one
+        self.clock.move(2.0)  # nothing was rewritten, so this is a new order
         self.book.merge([back], source="member")
         self.assertEqual((self.now.version, self.now.order), ("v1", at(2, 5)))
 
-    def test_word_by_a_daemon_that_knows_the_order_before_a_new_one_holds_at_once(self) -> None:
+    def test_update_by_a_daemon_with_the_known_order_applies_at_once(self) -> None:
         known = Rollout(SERVICE, "v2", "v1", at(1, 17), 14.0, phase=int(Phase.SUCCEEDED))
         new = Rollout(SERVICE, "v3", "v2", at(2, 11), 14.0, follows=at(1, 17))
         for told in (known, new):
             self.book.merge([told], source="member")
         self.assertEqual((self.now.version, self.now.order), ("v3", at(2, 11)))
 
-    def test_word_of_the_order_before_a_new_one_is_not_about_it(self) -> None:
-        """The same version, ordered again in the new era after it was taken back."""
+    def test_update_on_the_preceding_order_is_not_about_the_new_one(self) -> None:
+        """The same version, ordered again in the new era after it was rolled back."""
         early = Rollout(SERVICE, "v2", "v1", at(1, 17), 14.0, phase=int(Phase.ROLLED_BACK))
         again = early.with_changes(order=at(2, 10))
         new = early.with_changes(order=at(2, 12), phase=int(Phase.RUNNING))
@@ -289,9 +289,9 @@
             self.book.merge([told], source="member")
         self.assertEqual((self.now.order, self.now.phase), (at(2, 12), Phase.RUNNING))
 
-    # --- statuses -----------------------------------------------------------------------------
+    # --- statuses ---------------------------------------------------------------------------------
 
-    def test_a_lost_status_is_written_again_once(self) -> None:
+    def test_lost_status_is_rewritten_once(self) -> None:
         self.conductor.take_order(order(at(1, 17)))
         self.end(Phase.SUCCEEDED)
         self.rewind(1)
@@ -303,7 +303,7 @@
         self.settle()
         self.assertEqual(self.store.reads, reads)
 
-    def test_a_status_that_is_there_is_not_written_again(self) -> None:
+    def test_present_status_is_not_rewritten(self) -> None:
         self.conductor.take_order(order(at(1, 17)))
         self.end(Phase.ROLLED_BACK)
         self.rewind(2)
@@ -311,7 +311,7 @@
         self.settle()
         self.assertEqual(len(self.store.written), 2)
 
-    def test_a_daemon_that_knows_nothing_believes_the_status_of_the_earlier_era(self) -> None:
+    def test_daemon_without_state_adopts_the_status_of_the_earlier_era(self) -> None:
         self.conductor.take_order(order(at(1, 17)))
         self.end(Phase.ROLLED_BACK)
         self.rewind(2)
@@ -321,7 +321,7 @@
         self.assertEqual(self.now.phase, Phase.ROLLED_BACK)
         self.assertEqual(len(self.store.written), 2)
 
-    def test_a_status_at_another_offset_or_of_another_version_is_about_another_order(self) -> None:
+    def test_status_at_another_offset_or_of_another_version_is_about_another_order(self) -> None:
         rollout = Rollout(SERVICE, "v2", "v1", at(2, 17), 14.0)
         for version, position, is_about in (
             ("v2", at(2, 17), True),
@@ -335,8 +335,8 @@
                 status = RolloutStatus(SERVICE, version, Phase.RUNNING, position)
                 self.assertEqual(status.is_about(rollout), is_about)
 
-    def test_a_late_write_of_an_earlier_era_cannot_follow_the_end(self) -> None:
-        """Its offset is given out again before an end is written."""
+    def test_delayed_write_of_an_earlier_era_cannot_follow_the_final_phase(self) -> None:
+        """Its offset is assigned again before a final phase is written."""
         self.conductor.take_order(order(at(1, 17)))
         for number in range(3):  # statuses of other services
             self.store.written.append(RolloutStatus(f"s{number}", "v2", Phase.RUNNING, at(1, 1)))
@@ -353,7 +353,7 @@
         self.assertNotIn(Phase.SUCCEEDED, self.store.phases)
         self.assertEqual(self.store.phases[-1], Phase.ROLLED_BACK)
 
-    def test_an_acknowledged_end_is_written_over_the_other_one(self) -> None:
+    def test_acknowledged_final_phase_overwrites_the_other_one(self) -> None:
         for mine, late in (
             (Phase.ROLLED_BACK, Phase.SUCCEEDED),
             (Phase.SUCCEEDED, Phase.ROLLED_BACK),
@@ -368,8 +368,8 @@
                 self.settle()
                 self.assertEqual((self.now.phase, self.store.phases[-1]), (mine, mine))
 
-    def test_a_success_that_daemons_believe_is_written_over_a_late_end(self) -> None:
-        """By a daemon that leads since, and knows of no acknowledgement."""
+    def test_success_known_to_daemons_overwrites_a_delayed_final_phase(self) -> None:
+        """By a later leader that doesn't know of the acknowledgement."""
         told = Rollout(SERVICE, "v2", "v1", at(2, 17), 14.0, phase=int(Phase.SUCCEEDED))
         self.book.merge([told], source="member")
         self.store.era = 2
