--- a/packages/quotas/src/acaciayard_quotas/__init__.py
+++ b/packages/quotas/src/acaciayard_quotas/__init__.py
@@ -2,10 +2,10 @@
 
 from ._bucket import TokenBucket
 from ._connection import ConnectedCaps
+from ._granting import SeatBuckets, SeatNews, SeatReport
 from ._limits import MAX_TOKEN_TTL, CapRules, SeatLimit, limit_of
 from ._mesh_caps import MeshCaps
 from ._messages import QUOTA_MESSAGES, TokenRequest, TokenResponse, TokenReturn
-from ._seat_buckets import SeatBuckets, SeatNews, SeatReport
 from ._seats import HANDOVER_DELAY, Seats
 
 __all__ = [
--- a/packages/quotas/src/acaciayard_quotas/_connection.py
+++ b/packages/quotas/src/acaciayard_quotas/_connection.py
@@ -9,10 +9,10 @@
 from acaciayard_timers import TimerService
 from acaciayard_wire import ControlPort
 
+from ._granting import SeatNews
 from ._limits import CapRules
 from ._mesh_caps import MeshCaps
 from ._messages import TokenRequest, TokenResponse, TokenReturn
-from ._seat_buckets import SeatNews
 from ._seats import Seats
 
 __all__ = ["ConnectedCaps"]
--- a/packages/quotas/src/acaciayard_quotas/_mesh_caps.py
+++ b/packages/quotas/src/acaciayard_quotas/_mesh_caps.py
@@ -17,10 +17,10 @@
 from acaciayard_resources import Configuration, Workspace
 from acaciayard_timers import TimerService
 
-from ._held_tokens import HeldTokens, TokenBatch
+from ._granting import SeatBuckets, SeatNews, SeatReport
+from ._holdings import HeldTokens, TokenBatch
 from ._limits import CapRules, limit_of
 from ._messages import TokenRequest, TokenResponse, TokenReturn
-from ._seat_buckets import SeatBuckets, SeatNews, SeatReport
 from ._seats import HANDOVER_DELAY, Seats
 
 __all__ = ["MeshCaps"]
@@ -201,7 +201,7 @@
         known = [state.retry_at[seat] for seat in range(seats) if seat in state.retry_at]
         if not known:
             self._unreached += 1
-            reason = f"all quota seats of workspace {cap.name!r} are out of reach"
+            reason = f"who counts the calls of workspace {cap.name!r} is out of reach"
             return NotRun(reason, _UNREACHED_RETRY_AFTER * self._seed.uniform(*_RETRY_JITTER))
         retry_after = max(_MIN_RETRY_AFTER, min(known) - now) * self._seed.uniform(*_RETRY_JITTER)
         reason = (
--- a/packages/rollouts/src/acaciayard_rollouts/_conductor.py
+++ b/packages/rollouts/src/acaciayard_rollouts/_conductor.py
@@ -33,7 +33,7 @@
 _FULL_STAGE_START_SHARE: Final = 0.78
 #: Share of an order's duration after which an undecided rollout is rolled back.
 _DECISION_DEADLINE_SHARE: Final = 0.97
-#: Answers of the new version required before all calls are moved. At odds of 1,000, a version that
+#: Answers of the new version required before all calls are moved. With odds of 1,000 a version that
 #: fails one call in four is detected after 12 to 20 answers.
 _MIN_ANSWERS: Final = 20
 #: With fewer calls of the service than this, fewer answers suffice.
--- a/packages/rollouts/tests/rollout_model.py
+++ b/packages/rollouts/tests/rollout_model.py
@@ -21,7 +21,7 @@
 
 from attrs import define
 from count_judge import CountJudge
-from rollout_faults import BACKGROUNDS, BAD, TARGETS, Call, Fault
+from rollout_troubles import BACKGROUNDS, BAD, TARGETS, Call, Fault
 
 from acaciayard_rollouts import (
     ANY_VERSION,
--- a/packages/rollouts/tests/test_judges.py
+++ b/packages/rollouts/tests/test_judges.py
@@ -9,8 +9,8 @@
 import random
 import unittest
 
-from rollout_faults import BACKGROUNDS, BAD
 from rollout_model import Model
+from rollout_troubles import BACKGROUNDS, BAD
 
 from acaciayard_rollouts import (
     Evidence,
