--- a/packages/api/src/acaciayard_api/_app.py
+++ b/packages/api/src/acaciayard_api/_app.py
@@ -299,7 +299,7 @@
             workspace,
             refused=caps.refused[workspace.name],
             held=caps.held(workspace.name),
-            seats=caps.seats_here(workspace.name),
+            seats=caps.local_seats(workspace.name),
         )
 
     # --- suspects -----------------------------------------------------------------------------
--- a/packages/api/src/acaciayard_api/_views.py
+++ b/packages/api/src/acaciayard_api/_views.py
@@ -7,7 +7,7 @@
 
 from acaciayard_calls import LevelReport
 from acaciayard_membership import Member, MemberState, Suspicion, TargetState
-from acaciayard_quotas import SeatReport
+from acaciayard_quotas import SeatStatus
 from acaciayard_resources import Finding, Outcome, Stored, Workspace, spec_of
 from acaciayard_spread import AcceptedChange
 
@@ -121,7 +121,7 @@
 
 
 def workspace_view(
-    workspace: Workspace, *, refused: int, held: int, seats: Iterable[SeatReport]
+    workspace: Workspace, *, refused: int, held: int, seats: Iterable[SeatStatus]
 ) -> dict[str, Any]:
     """A workspace, and what one daemon knows of its cap; its keys are counted and not shown."""
     return {
--- a/packages/calls/src/acaciayard_calls/_attempt.py
+++ b/packages/calls/src/acaciayard_calls/_attempt.py
@@ -59,17 +59,17 @@
         """Tell a rollout what its version has done with the call."""
         match outcome:
             case Answer(lacks_inner=True):
-                run.end_untold()  # another service has failed the call
+                run.end_unknown()  # another service has failed the call
             case Answer(status=status):
                 run.end(is_bad=status >= 500)
             case OutcomeUnknown(is_silent=is_silent) if self.was_given_up or is_silent:
-                run.end_untold()  # the caller or the whole host has gone: no word on a version
+                run.end_unknown()  # the caller or the whole host has gone: no word on a version
             case OutcomeUnknown():
                 run.end(is_bad=True)
             case NotRun(is_by_target=True):
-                run.end_untold()
+                run.end_unknown()
             case _ if outcome is _GIVEN_UP and self.exchange.was_sent:
-                run.end_untold()
+                run.end_unknown()
             case _:
                 run.end_refused()
 
--- a/packages/calls/tests/test_inner_failures.py
+++ b/packages/calls/tests/test_inner_failures.py
@@ -42,7 +42,7 @@
     def end(self, *, is_bad: bool) -> None:
         self.told.append("bad" if is_bad else "good")
 
-    def end_untold(self) -> None:
+    def end_unknown(self) -> None:
         self.told.append("nothing")
 
     def end_refused(self) -> None:
--- a/packages/hosted/src/acaciayard_hosted/_build.py
+++ b/packages/hosted/src/acaciayard_hosted/_build.py
@@ -33,7 +33,7 @@
 )
 from acaciayard_quotas import QUOTA_MESSAGES, ConnectedCaps
 from acaciayard_resources import Invariants
-from acaciayard_rollouts import ROLLOUT_MESSAGES, RolloutBook, RolloutNews
+from acaciayard_rollouts import ROLLOUT_MESSAGES, RolloutBook, RolloutChange
 from acaciayard_routing import Picker
 from acaciayard_timers import EventLoopTimers, PauseDetector
 from acaciayard_wire import ControlPort, MessageCodec, Traffic
@@ -134,7 +134,7 @@
             tell=self._log_suspect,
         )
 
-    def _note_rollout(self, news: RolloutNews) -> None:
+    def _note_rollout(self, news: RolloutChange) -> None:
         if self._rollouts is not None:
             self._rollouts.note(news)
 
--- a/packages/hosted/src/acaciayard_hosted/_quotas.py
+++ b/packages/hosted/src/acaciayard_hosted/_quotas.py
@@ -7,7 +7,7 @@
 import structlog
 
 from acaciayard_membership import Membership
-from acaciayard_quotas import ConnectedCaps, SeatNews
+from acaciayard_quotas import ConnectedCaps, SeatOwnershipChange
 from acaciayard_timers import TimerService
 from acaciayard_wire import ControlPort
 
@@ -27,7 +27,7 @@
 ) -> ConnectedCaps:
     """The caps of a daemon; they do nothing until a configuration has workspaces with caps."""
 
-    def tell(news: SeatNews) -> None:
+    def tell(news: SeatOwnershipChange) -> None:
         log.info("cap_seat", workspace=news.workspace, seat=news.seat, held=news.is_held)
 
     return ConnectedCaps(
--- a/packages/hosted/src/acaciayard_hosted/_rollouts.py
+++ b/packages/hosted/src/acaciayard_hosted/_rollouts.py
@@ -24,12 +24,12 @@
     Fleet,
     MemberStart,
     Phase,
-    RolloutAsk,
     RolloutBook,
-    RolloutNews,
+    RolloutChange,
+    RolloutQuery,
     RolloutReport,
     RolloutStatus,
-    RolloutTold,
+    RolloutUpdate,
     Stage,
     StatusFound,
     StatusLost,
@@ -124,11 +124,11 @@
             book=book,
             fleet=Fleet(
                 present=self._present,
-                gone_within=self._gone_within,
+                lost_within=self._gone_within,
                 slots=picker.slots_by_version,
                 hosts=picker.hosts_by_version,
                 leads=lambda: feeding.is_lead,
-                has_most=self._has_most,
+                has_majority=self._has_most,
             ),
             store=_StoredStatus(store, words),
             timers=timers,
@@ -136,9 +136,9 @@
             note=lambda event, fields: log.info(event, **fields),
         )
         members.table.subscribe(self._on_member)
-        port.on_datagram(RolloutTold, self._take_told)
+        port.on_datagram(RolloutUpdate, self._take_told)
         port.on_datagram(RolloutReport, lambda report, _sender: self._take_report(report))
-        port.on_datagram(RolloutAsk, lambda _ask, sender: self._tell([sender]))
+        port.on_datagram(RolloutQuery, lambda _ask, sender: self._tell([sender]))
 
     # --- the others ---------------------------------------------------------------------------
 
@@ -160,7 +160,7 @@
 
     def ask(self, address: Address) -> None:
         """Ask a daemon that was met where rollouts stand."""
-        self._port.send_datagram(RolloutAsk(self._members.table.own.host), address)
+        self._port.send_datagram(RolloutQuery(self._members.table.own.host), address)
 
     # --- what comes in ------------------------------------------------------------------------
 
@@ -176,13 +176,13 @@
         if order is not None:
             self._conductor.take_order(order)
 
-    def _take_told(self, told: RolloutTold, _sender: Address) -> None:
+    def _take_told(self, told: RolloutUpdate, _sender: Address) -> None:
         self._book.merge(told.rollouts, source="member")
 
     def _take_report(self, report: RolloutReport) -> None:
         self._conductor.take_report(report)
 
-    def note(self, news: RolloutNews) -> None:
+    def note(self, news: RolloutChange) -> None:
         """Something has changed: log it, and where this daemon leads, tell all at once."""
         self._has_any.set()
         self._changes += 1
@@ -215,7 +215,7 @@
     def _tell(self, addresses: list[Address]) -> None:
         rollouts = self._book.all
         if rollouts:
-            told = RolloutTold(rollouts)
+            told = RolloutUpdate(rollouts)
             for address in addresses:
                 self._port.send_datagram(told, address)
 
--- a/packages/hosted/tests/test_hosted_rollouts.py
+++ b/packages/hosted/tests/test_hosted_rollouts.py
@@ -21,7 +21,7 @@
     ReportRow,
     RolloutBook,
     RolloutReport,
-    RolloutTold,
+    RolloutUpdate,
     Side,
 )
 from acaciayard_routing import Picker
@@ -97,7 +97,7 @@
             self.order()
             await self.timers.advance(5.0)
             self.assertEqual(self.store.calls, 0)
-            self.assertFalse([each for each in self.sent if isinstance(each, RolloutTold)])
+            self.assertFalse([each for each in self.sent if isinstance(each, RolloutUpdate)])
             tasks.cancel_scope.cancel()
 
 
--- a/packages/quotas/src/acaciayard_quotas/__init__.py
+++ b/packages/quotas/src/acaciayard_quotas/__init__.py
@@ -2,7 +2,7 @@
 
 from ._bucket import TokenBucket
 from ._connection import ConnectedCaps
-from ._granting import SeatBuckets, SeatNews, SeatReport
+from ._granting import SeatBuckets, SeatOwnershipChange, SeatStatus
 from ._limits import MAX_TOKEN_TTL, CapRules, SeatLimit, limit_of
 from ._mesh_caps import MeshCaps
 from ._messages import QUOTA_MESSAGES, TokenRequest, TokenResponse, TokenReturn
@@ -17,8 +17,8 @@
     "SeatBuckets",
     "MeshCaps",
     "SeatLimit",
-    "SeatNews",
-    "SeatReport",
+    "SeatOwnershipChange",
+    "SeatStatus",
     "Seats",
     "TokenResponse",
     "TokenRequest",
--- a/packages/quotas/src/acaciayard_quotas/_connection.py
+++ b/packages/quotas/src/acaciayard_quotas/_connection.py
@@ -9,7 +9,7 @@
 from acaciayard_timers import TimerService
 from acaciayard_wire import ControlPort
 
-from ._granting import SeatNews
+from ._granting import SeatOwnershipChange
 from ._limits import CapRules
 from ._mesh_caps import MeshCaps
 from ._messages import TokenRequest, TokenResponse, TokenReturn
@@ -35,7 +35,7 @@
         rules: CapRules,
         timers: TimerService,
         seed: random.Random,
-        tell: Callable[[SeatNews], None] = lambda _: None,
+        tell: Callable[[SeatOwnershipChange], None] = lambda _: None,
     ) -> None:
         self._members = members
         self._port = port
--- a/packages/quotas/src/acaciayard_quotas/_granting.py
+++ b/packages/quotas/src/acaciayard_quotas/_granting.py
@@ -15,7 +15,7 @@
 from ._messages import TokenRequest, TokenResponse, TokenReturn
 from ._seats import Seats
 
-__all__ = ["SeatBuckets", "SeatNews", "SeatReport"]
+__all__ = ["SeatBuckets", "SeatOwnershipChange", "SeatStatus"]
 
 #: Shortest and longest time, in seconds, for which a daemon that was granted nothing doesn't ask
 #: the seat again. This bounds the requests for a workspace far over its cap: 64 daemons ask a seat
@@ -24,7 +24,7 @@
 
 
 @frozen
-class SeatNews:
+class SeatOwnershipChange:
     """This daemon has started or stopped granting tokens for a seat."""
 
     workspace: str
@@ -33,7 +33,7 @@
 
 
 @frozen
-class SeatReport:
+class SeatStatus:
     """A snapshot of a seat's token bucket."""
 
     #: Index of the seat.
@@ -59,7 +59,7 @@
         seats: Seats,
         rules: CapRules,
         timers: TimerService,
-        tell: Callable[[SeatNews], None] = lambda _: None,
+        tell: Callable[[SeatOwnershipChange], None] = lambda _: None,
     ) -> None:
         self._own = own
         self._seats = seats
@@ -110,12 +110,12 @@
         if bucket is not None:
             bucket.take_back((message.host, message.number), message.count, now=self._timers.now())
 
-    def reports(self, workspace: str) -> tuple[SeatReport, ...]:
+    def reports(self, workspace: str) -> tuple[SeatStatus, ...]:
         """Snapshots of the seats of a workspace that this daemon owns."""
         now = self._timers.now()
         share = self._seats.share
         return tuple(
-            SeatReport(
+            SeatStatus(
                 seat,
                 round(bucket.tokens(now=now, share=share), 1),
                 bucket.held_elsewhere,
@@ -139,11 +139,11 @@
         bucket = self._buckets.get(key)
         if bucket is None or refill_start > self._refill_starts[key]:
             if bucket is None:
-                self._tell(SeatNews(name, seat, is_held=True))
+                self._tell(SeatOwnershipChange(name, seat, is_held=True))
             bucket = self._buckets[key] = TokenBucket(limit, refill_from=refill_start)
             self._refill_starts[key] = refill_start
         return bucket
 
     def _drop(self, key: tuple[str, int]) -> None:
         if self._buckets.pop(key, None) is not None:
-            self._tell(SeatNews(*key, is_held=False))
+            self._tell(SeatOwnershipChange(*key, is_held=False))
--- a/packages/quotas/src/acaciayard_quotas/_mesh_caps.py
+++ b/packages/quotas/src/acaciayard_quotas/_mesh_caps.py
@@ -17,7 +17,7 @@
 from acaciayard_resources import Configuration, Workspace
 from acaciayard_timers import TimerService
 
-from ._granting import SeatBuckets, SeatNews, SeatReport
+from ._granting import SeatBuckets, SeatOwnershipChange, SeatStatus
 from ._holdings import HeldTokens, TokenBatch
 from ._limits import CapRules, limit_of
 from ._messages import TokenRequest, TokenResponse, TokenReturn
@@ -111,7 +111,7 @@
         timers: TimerService,
         seed: random.Random,
         send: Callable[[str, object], None],
-        tell: Callable[[SeatNews], None] = lambda _: None,
+        tell: Callable[[SeatOwnershipChange], None] = lambda _: None,
     ) -> None:
         self._own = own
         self._seats = seats
@@ -148,7 +148,7 @@
         state = self._states.get(workspace)
         return state.held_tokens.count(self._timers.now()) if state is not None else 0
 
-    def seats_here(self, workspace: str) -> tuple[SeatReport, ...]:
+    def local_seats(self, workspace: str) -> tuple[SeatStatus, ...]:
         """Snapshots of the seats of a workspace that this daemon owns."""
         return self._seat_buckets.reports(workspace)
 
--- a/packages/rollouts/src/acaciayard_rollouts/_book.py
+++ b/packages/rollouts/src/acaciayard_rollouts/_book.py
@@ -22,7 +22,7 @@
     "NEW_LEASE",
     "NO_ROLLOUTS",
     "RolloutBook",
-    "RolloutNews",
+    "RolloutChange",
     "RolloutRun",
     "Versions",
 ]
@@ -77,7 +77,7 @@
 
 
 @frozen
-class RolloutNews:
+class RolloutChange:
     """A change of a rollout as this daemon knows it, for logs."""
 
     #: The rollout after the change.
@@ -155,7 +155,7 @@
         if self._finish() and self._side is Side.NEW:
             self._entry.budget.give_back()
 
-    def end_untold(self) -> None:
+    def end_unknown(self) -> None:
         """End a call that a target may have received, without a result for its version."""
         self._finish()
 
@@ -197,7 +197,7 @@
         timers: TimerService,
         exposure_share: float,
         seed: random.Random | None = None,
-        tell: Callable[[RolloutNews], None] = lambda _news: None,
+        tell: Callable[[RolloutChange], None] = lambda _news: None,
     ) -> None:
         self._timers = timers
         self._share = exposure_share
@@ -306,7 +306,7 @@
             updated_at=now,
             is_successor=before is not None,
         )
-        self._tell(RolloutNews(rollout, source, reason))
+        self._tell(RolloutChange(rollout, source, reason))
 
     def _merge_known(self, entry: _Entry, rollout: Rollout, source: str, reason: str) -> None:
         """Merge an update on a known order, whichever position of the order the sender uses."""
@@ -316,7 +316,7 @@
             entry.set_position(rollout.order)
             rewrite_reason = f"written again in era {era_of(rollout.order)} of the store"
             if rollout.rank <= before.with_changes(order=rollout.order).rank:
-                self._tell(RolloutNews(entry.rollout, source, rewrite_reason))
+                self._tell(RolloutChange(entry.rollout, source, rewrite_reason))
         elif rollout.order < entry.rollout.order and entry.is_about(rollout):
             entry.earlier_positions.add(rollout.order)
             rollout = rollout.with_changes(order=entry.rollout.order)
@@ -327,7 +327,7 @@
         if rollout.rank > entry.rollout.rank:
             base = entry.rollout.base or rollout.base
             entry.rollout = rollout.with_changes(base=base)
-            self._tell(RolloutNews(rollout, source, reason))
+            self._tell(RolloutChange(rollout, source, reason))
 
     def is_superseded(self, service: str, order: int, version: str) -> bool:
         """Whether an order of this version at this offset was followed by another one, in any era.
--- a/packages/rollouts/src/acaciayard_rollouts/_conductor.py
+++ b/packages/rollouts/src/acaciayard_rollouts/_conductor.py
@@ -226,10 +226,10 @@
         earliest_success = case.full_since + _FULL_STAGE_SECONDS + usual
         if self._timers.now() < earliest_success:
             return False
-        if not self._fleet.has_most():
+        if not self._fleet.has_majority():
             return False
         # A daemon lost recently may only be partitioned, and sends calls until its lease expires.
-        expected = self._fleet.present() | self._fleet.gone_within(BASE_LEASE)
+        expected = self._fleet.present() | self._fleet.lost_within(BASE_LEASE)
         return all(case.drained.get(start, -math.inf) >= earliest_success for start in expected)
 
     # --- store access -----------------------------------------------------------------------------
--- a/packages/rollouts/src/acaciayard_rollouts/_fleet.py
+++ b/packages/rollouts/src/acaciayard_rollouts/_fleet.py
@@ -27,17 +27,17 @@
         self,
         *,
         present: Callable[[], frozenset[MemberStart]],
-        gone_within: Callable[[float], frozenset[MemberStart]],
+        lost_within: Callable[[float], frozenset[MemberStart]],
         slots: Callable[[str], Counter[str]],
         hosts: Callable[[str], Counter[str]],
         leads: Callable[[], bool],
-        has_most: Callable[[], bool],
+        has_majority: Callable[[], bool],
     ) -> None:
         #: Daemons considered running.
         self.present = present
         #: Daemons lost within the given seconds, which may still run on the other side of a
         #: partition.
-        self.gone_within = gone_within
+        self.lost_within = lost_within
         #: Slots of a service by version.
         self.slots = slots
         #: Number of targets of a service by version.
@@ -46,4 +46,4 @@
         self.leads = leads
         #: Whether a majority of all daemons is considered running; a partitioned minority must not
         #: take itself for the whole mesh.
-        self.has_most = has_most
+        self.has_majority = has_majority
--- a/packages/rollouts/src/acaciayard_rollouts/_states.py
+++ b/packages/rollouts/src/acaciayard_rollouts/_states.py
@@ -15,9 +15,9 @@
     "Phase",
     "ReportRow",
     "Rollout",
-    "RolloutAsk",
+    "RolloutQuery",
     "RolloutReport",
-    "RolloutTold",
+    "RolloutUpdate",
     "Side",
     "Stage",
 ]
@@ -112,7 +112,7 @@
 
 
 @frozen
-class RolloutTold:
+class RolloutUpdate:
     """Datagram to all daemons with the state of rollouts; it renews their leases."""
 
     #: The rollouts.
@@ -164,7 +164,7 @@
 
 
 @frozen
-class RolloutAsk:
+class RolloutQuery:
     """Datagram of a starting daemon that requests the state of rollouts."""
 
     #: Name of the host that sends the request.
@@ -172,7 +172,7 @@
 
 
 ROLLOUT_MESSAGES: Final[dict[int, type]] = {
-    70: RolloutTold,
+    70: RolloutUpdate,
     71: RolloutReport,
-    72: RolloutAsk,
+    72: RolloutQuery,
 }
--- a/packages/rollouts/tests/rollout_model.py
+++ b/packages/rollouts/tests/rollout_model.py
@@ -137,11 +137,11 @@
             book=self.books[0],
             fleet=Fleet(
                 present=lambda: starts,
-                gone_within=lambda _seconds: frozenset(),
+                lost_within=lambda _seconds: frozenset(),
                 slots=lambda _service: Counter(slots),
                 hosts=lambda _service: Counter({"v1": TARGETS, "v2": TARGETS}),
                 leads=lambda: True,
-                has_most=lambda: True,
+                has_majority=lambda: True,
             ),
             store=self.store,
             timers=self._clock,
--- a/packages/rollouts/tests/test_conductor.py
+++ b/packages/rollouts/tests/test_conductor.py
@@ -81,7 +81,7 @@
         self.present = frozenset(MemberStart(host, 1) for host in HOSTS)
         self.gone: frozenset[MemberStart] = frozenset()
         self.slots = Counter({"v1": 24, "v2": 24})
-        self.has_most = True
+        self.has_majority = True
         self.leads = True
         self.book, self.conductor = self.lead()
 
@@ -92,11 +92,11 @@
             book=book,
             fleet=Fleet(
                 present=lambda: self.present,
-                gone_within=lambda _seconds: self.gone,
+                lost_within=lambda _seconds: self.gone,
                 slots=lambda _service: Counter(self.slots),
                 hosts=lambda _service: Counter({"v1": 3, "v2": 3}),
                 leads=lambda: self.leads,
-                has_most=lambda: self.has_most,
+                has_majority=lambda: self.has_majority,
             ),
             store=self.store,
             timers=self.clock,
@@ -206,7 +206,7 @@
         await self.to_full()
         await self.mesh.clock.advance(1.0)
         self.mesh.report(stage=Stage.FULL)
-        self.mesh.has_most = False
+        self.mesh.has_majority = False
         await self.mesh.look()
         self.assertEqual(self.mesh.phase, Phase.RUNNING)
 
--- a/packages/rollouts/tests/test_exposure.py
+++ b/packages/rollouts/tests/test_exposure.py
@@ -88,7 +88,7 @@
                         run.end_refused()
                         daemon.exposed -= side is Side.NEW
                     else:
-                        run.end_untold()
+                        run.end_unknown()
             answered = sum(each.answered for each in daemons)
             self.assertLessEqual(sum(each.exposed for each in daemons), SHARE * answered)
 
--- a/packages/rollouts/tests/test_order_life.py
+++ b/packages/rollouts/tests/test_order_life.py
@@ -91,11 +91,11 @@
             book=self.book,
             fleet=Fleet(
                 present=machine.present,
-                gone_within=machine.gone_within,
+                lost_within=machine.lost_within,
                 slots=lambda _service: Counter({"v1": 8, "v2": 8}),
                 hosts=lambda _service: Counter({"v1": 4, "v2": 4}),
                 leads=lambda: machine.leads(self),
-                has_most=lambda: len(machine.present()) * 2 > DAEMONS,
+                has_majority=lambda: len(machine.present()) * 2 > DAEMONS,
             ),
             store=machine.store,
             timers=machine.clock,
@@ -118,7 +118,7 @@
     def present(self) -> frozenset[MemberStart]:
         return frozenset(each.start for each in self.daemons if not each.is_cut)
 
-    def gone_within(self, seconds: float) -> frozenset[MemberStart]:
+    def lost_within(self, seconds: float) -> frozenset[MemberStart]:
         since = self.clock.now() - seconds
         return frozenset(start for start, when in self.gone.items() if when >= since)
 
--- a/packages/rollouts/tests/test_written_again.py
+++ b/packages/rollouts/tests/test_written_again.py
@@ -15,7 +15,7 @@
     Phase,
     Rollout,
     RolloutBook,
-    RolloutNews,
+    RolloutChange,
     RolloutOrder,
     RolloutReport,
     RolloutStatus,
@@ -85,7 +85,7 @@
     def setUp(self) -> None:
         self.clock = Clock()
         self.store = Store()
-        self.news: list[RolloutNews] = []
+        self.news: list[RolloutChange] = []
         self.book, self.conductor = self.daemon()
 
     def daemon(self) -> tuple[RolloutBook, Conductor]:
@@ -97,11 +97,11 @@
             book=book,
             fleet=Fleet(
                 present=lambda: frozenset({MemberStart("a", 1)}),
-                gone_within=lambda _seconds: frozenset(),
+                lost_within=lambda _seconds: frozenset(),
                 slots=lambda _service: Counter({"v1": 8, "v2": 8}),
                 hosts=lambda _service: Counter({"v1": 4, "v2": 4}),
                 leads=lambda: True,
-                has_most=lambda: True,
+                has_majority=lambda: True,
             ),
             store=self.store,
             timers=self.clock,
