--- a/packages/rollouts/src/acaciayard_rollouts/_conductor.py
+++ b/packages/rollouts/src/acaciayard_rollouts/_conductor.py
@@ -298,7 +298,7 @@
     async def _write_phase(
         self, rollout: Rollout, phase: Phase, case: RolloutCase, position: int
     ) -> bool:
-        """Write a phase unless the store has changed since `position`; return whether it did so."""
+        """Write a phase at `position`; return `False` if it is not known to be written."""
         status = RolloutStatus(rollout.service, rollout.version, phase, rollout.order)
         written = await self._store.write(status, position=position)
         if isinstance(written, StatusLost):
--- a/packages/rollouts/src/acaciayard_rollouts/_orders.py
+++ b/packages/rollouts/src/acaciayard_rollouts/_orders.py
@@ -91,7 +91,7 @@
 
     @abstractmethod
     async def write(self, status: RolloutStatus, *, position: int) -> bool | StatusLost:
-        """Write a status unless the store has changed since `position`; return whether it did."""
+        """Write a status at `position`; return `False` if the store has changed since then."""
 
 
 def rollout_of(order: RolloutOrder, *, base: str = "", age: float = 0.0) -> Rollout:
