--- a/packages/calls/src/acaciayard_calls/_attempt.py
+++ b/packages/calls/src/acaciayard_calls/_attempt.py
@@ -58,17 +58,17 @@
         """Report the outcome to the rollout as success, failure, refusal or no evidence."""
         match outcome:
             case Answer(is_nested_failure=True):
-                run.end_untold()  # caused by the failure of another service
+                run.end_unknown()  # caused by the failure of another service
             case Answer(status=status):
                 run.end(is_bad=status >= 500)
             case OutcomeUnknown(is_silent=is_silent) if self.was_given_up or is_silent:
-                run.end_untold()  # the caller or the host was lost: no evidence on the version
+                run.end_unknown()  # the caller or the host was lost: no evidence on the version
             case OutcomeUnknown():
                 run.end(is_bad=True)
             case NotRun(is_by_target=True):
-                run.end_untold()
+                run.end_unknown()
             case _ if outcome is _GIVEN_UP and self.exchange.was_sent:
-                run.end_untold()
+                run.end_unknown()
             case _:
                 run.end_refused()
 
--- a/packages/rollouts/tests/rollout_troubles.py
+++ b/packages/rollouts/tests/rollout_troubles.py
@@ -1,4 +1,4 @@
-"""What may be wrong with a version, and what may go on beside it."""
+"""Simulated faults of a version, and disturbances that affect both versions."""
 
 from __future__ import annotations
 
@@ -9,97 +9,103 @@
 
 from acaciayard_rollouts import Side
 
-#: Targets of either version, as many as on the deployment on which orders were first seen.
+#: Targets of each version, as many as on the first deployment with rollout orders.
 TARGETS = 70
 
 
 @frozen
 class Call:
-    """What decides how a call does."""
+    """The properties of a call that determine its result."""
 
-    #: Route.
+    #: Name of its route.
     route: str
     #: Number of its target.
     target: int
-    #: Version.
+    #: Version that it goes to.
     side: Side
     #: Seconds since the order.
     age: float
-    #: Share of all calls that the new version has now.
+    #: Share of all calls that currently go to the new version.
     new_share: float
 
 
 @frozen
-class Doing:
-    """How a call does."""
+class CallResult:
+    """The result of a call."""
 
-    #: Whether its answer is a failure.
+    #: Whether the call fails.
     is_bad: bool = False
-    #: How many times longer it takes.
-    slower: float = 1.0
-    #: Whether this is the fault of the version, and counts as a bad answer.
-    by_version: bool = False
+    #: Factor by which it takes longer.
+    slowdown: float = 1.0
+    #: Whether the version caused this, so that it counts as a bad answer.
+    is_caused_by_version: bool = False
 
 
-#: How a version, or the surroundings, treat a call.
-Trouble = Callable[[Call, random.Random], Doing]
-FINE = Doing()
+#: A fault of a version, or a disturbance, that determines the result of a call.
+Fault = Callable[[Call, random.Random], CallResult]
+GOOD_RESULT = CallResult()
 
 
-def _bad(share: float, *, since: float = 0.0, load: float = 0.0, route: str = "") -> Trouble:
-    """A version that fails a share of its calls."""
+def _bad(share: float, *, since: float = 0.0, load: float = 0.0, route: str = "") -> Fault:
+    """A new version that fails a share of its calls."""
 
-    def doing(call: Call, seed: random.Random) -> Doing:
-        is_meant = call.side is Side.NEW and call.age >= since and call.new_share >= load
-        is_meant = is_meant and call.route.startswith(route)
-        return Doing(True, by_version=True) if is_meant and seed.random() < share else FINE
+    def result_of(call: Call, seed: random.Random) -> CallResult:
+        applies = call.side is Side.NEW and call.age >= since and call.new_share >= load
+        applies = applies and call.route.startswith(route)
+        return (
+            CallResult(True, is_caused_by_version=True)
+            if applies and seed.random() < share
+            else GOOD_RESULT
+        )
 
-    return doing
+    return result_of
 
 
-def _slow(share: float, times: float, *, load: float = 0.0) -> Trouble:
-    """A version that answers a share of its calls some times slower."""
+def _slow(share: float, factor: float, *, load: float = 0.0) -> Fault:
+    """A new version that answers a share of its calls more slowly by a factor."""
 
-    def doing(call: Call, seed: random.Random) -> Doing:
-        is_meant = call.side is Side.NEW and call.new_share >= load
-        is_meant = is_meant and seed.random() < share
-        return Doing(slower=times, by_version=True) if is_meant else FINE
+    def result_of(call: Call, seed: random.Random) -> CallResult:
+        applies = call.side is Side.NEW and call.new_share >= load
+        applies = applies and seed.random() < share
+        return CallResult(slowdown=factor, is_caused_by_version=True) if applies else GOOD_RESULT
 
-    return doing
+    return result_of
 
 
-def _grey(call: Call, seed: random.Random) -> Doing:
+def _failing_targets(call: Call, seed: random.Random) -> CallResult:
     """One target in seven, of either version, fails nearly half of its calls."""
-    return Doing(call.target % 7 == 0 and seed.random() < 0.45)
+    return CallResult(call.target % 7 == 0 and seed.random() < 0.45)
 
 
-def _slow_targets(call: Call, _seed: random.Random) -> Doing:
-    return Doing(slower=5.0 if call.target % 6 == 0 else 1.0)
+def _slow_targets(call: Call, _seed: random.Random) -> CallResult:
+    return CallResult(slowdown=5.0 if call.target % 6 == 0 else 1.0)
 
 
-def _cold(call: Call, _seed: random.Random) -> Doing:
-    """New targets are slow for three seconds, coming over the first three."""
-    comes = 3.0 * call.target / TARGETS
-    return Doing(slower=2.0 if call.side is Side.NEW and call.age < comes + 3.0 else 1.0)
+def _cold_targets(call: Call, _seed: random.Random) -> CallResult:
+    """New targets start over the first three seconds, and each is slow for three seconds."""
+    started_at = 3.0 * call.target / TARGETS
+    return CallResult(
+        slowdown=2.0 if call.side is Side.NEW and call.age < started_at + 3.0 else 1.0
+    )
 
 
-def _crowd(call: Call, seed: random.Random) -> Doing:
-    """All take longer for three seconds, and one call in ten fails."""
-    is_crowded = 5.0 <= call.age < 8.0
-    return Doing(is_crowded and seed.random() < 0.1, slower=3.0 if is_crowded else 1.0)
+def _traffic_peak(call: Call, seed: random.Random) -> CallResult:
+    """All calls take longer for three seconds, and one in ten fails."""
+    is_peak = 5.0 <= call.age < 8.0
+    return CallResult(is_peak and seed.random() < 0.1, slowdown=3.0 if is_peak else 1.0)
 
 
-def _lost_hosts(call: Call, seed: random.Random) -> Doing:
-    """Half of all calls of one second are broken off."""
-    return Doing(6.0 <= call.age < 7.0 and seed.random() < 0.5)
+def _lost_hosts(call: Call, seed: random.Random) -> CallResult:
+    """Half of the calls of one second fail."""
+    return CallResult(6.0 <= call.age < 7.0 and seed.random() < 0.5)
 
 
-def _lost_answers(_call: Call, seed: random.Random) -> Doing:
-    return Doing(seed.random() < 0.025)
+def _lost_answers(_call: Call, seed: random.Random) -> CallResult:
+    return CallResult(seed.random() < 0.025)
 
 
-#: Versions that are bad, by the way in which they are.
-BAD: dict[str, Trouble] = {
+#: Bad versions by their fault.
+BAD: dict[str, Fault] = {
     "fails 30 in 100": _bad(0.3),
     "fails 10 in 100": _bad(0.1),
     "fails all": _bad(1.0),
@@ -109,13 +115,13 @@
     "40 in 100 are 4 times slower": _slow(0.4, 4.0),
     "half are 5 times slower under load": _slow(0.5, 5.0, load=0.5),
 }
-#: What goes on beside a good version.
-BACKGROUNDS: dict[str, Trouble] = {
-    "nothing": lambda _call, _seed: FINE,
-    "cold new targets": _cold,
-    "failing targets of both": _grey,
+#: Disturbances during the rollout of a good version.
+BACKGROUNDS: dict[str, Fault] = {
+    "nothing": lambda _call, _seed: GOOD_RESULT,
+    "cold new targets": _cold_targets,
+    "failing targets of both": _failing_targets,
     "slow targets of both": _slow_targets,
-    "a crowd": _crowd,
+    "a crowd": _traffic_peak,
     "lost hosts": _lost_hosts,
     "lost answers": _lost_answers,
 }
