--- a/packages/spread/src/acaciayard_spread/_feeder.py
+++ b/packages/spread/src/acaciayard_spread/_feeder.py
@@ -124,9 +124,7 @@
 
     def _describe_mismatch(self, bounds: Bounds) -> str:
         if bounds.head < self._holder.position:
-            return (
-                f"the log ends at {bounds.head}, before position {self._holder.position} held here"
-            )
+            return f"the log ends at {bounds.head}, but {self._holder.position} is held already"
         return ""
 
     async def _bootstrap(self, bounds: Bounds) -> None:
--- a/packages/spread/src/acaciayard_spread/_recovery.py
+++ b/packages/spread/src/acaciayard_spread/_recovery.py
@@ -209,8 +209,7 @@
             return max(answer.position for answer in known)
         self._state = RecoveryState(
             is_done=False,
-            reason=f"the log is unavailable ({log_reason}) and {unknown} of {len(others)} other"
-            " daemons cannot tell which version this host had in force;"
-            " not serving, to avoid an older one",
+            reason=f"the log is out ({log_reason}) and {unknown} of {len(others)} other daemons"
+            " cannot tell which version this host has run; not serving so as not to go back",
         )
         return None
--- a/packages/spread/tests/test_spread_failures.py
+++ b/packages/spread/tests/test_spread_failures.py
@@ -154,9 +154,7 @@
             await mesh.advance(20)
             self.assert_everywhere(mesh, -1)
             reasons = {d.spread.recovery.state.reason for d in mesh.daemons.values()}
-            self.assertTrue(
-                all("not serving, to avoid an older one" in r for r in reasons), reasons
-            )
+            self.assertTrue(all("not serving so as not to go back" in r for r in reasons), reasons)
             mesh.log.is_down = False
             await mesh.advance(5)
             self.assert_everywhere(mesh, 1)
