--- a/packages/admission/src/acaciayard_admission/_budgets.py
+++ b/packages/admission/src/acaciayard_admission/_budgets.py
@@ -161,11 +161,11 @@
         bucket = self._bucket(limit)
         shortest, longest = _RETRY_AFTER_SECONDS
         if bucket.concurrent >= limit.concurrent:
-            reason = f"{caller!r} has {limit.concurrent} calls in flight already"
+            reason = f"{caller!r} has {limit.concurrent} calls open already"
             return NotRun(reason, shortest, is_overload=True)
         if bucket.tokens < 1:
             wait = (1 - bucket.tokens) / limit.calls_per_second
-            reason = f"{caller!r} exceeds its limit of {limit.calls_per_second:g} calls a second"
+            reason = f"{caller!r} asks for more than {limit.calls_per_second:g} calls a second"
             return NotRun(reason, min(max(wait, shortest), longest), is_overload=True)
         bucket.tokens -= 1
         bucket.concurrent += 1
--- a/packages/admission/src/acaciayard_admission/_gate.py
+++ b/packages/admission/src/acaciayard_admission/_gate.py
@@ -396,7 +396,7 @@
         for lower_level in range(LEVELS - 1, level, -1):
             if len(self._waiting[lower_level]) > self._reserved_places:
                 waiter = self._waiting[lower_level].pop()
-                self._refuse(waiter, self._overload("calls of a higher class took its place"))
+                self._refuse(waiter, self._overload("calls of a higher class came"))
                 return True
         return False
 
--- a/packages/admission/src/acaciayard_admission/_local.py
+++ b/packages/admission/src/acaciayard_admission/_local.py
@@ -381,7 +381,7 @@
         try:
             part = await self._open().reader.next_part()
         except HttpError as error:
-            raise StreamLostError(f"the target's answer is malformed: {error}") from error
+            raise StreamLostError(f"the target's answer makes no sense: {error}") from error
         except StreamLostError as error:
             await self._connection_lost(error)
             raise
--- a/packages/admission/src/acaciayard_admission/_target_answers.py
+++ b/packages/admission/src/acaciayard_admission/_target_answers.py
@@ -54,7 +54,7 @@
         if dialect.request_id and not first_header(head.headers, dialect.request_id):
             return f"the target answered {head.status} without saying to which request"
         if first_header(head.headers, b"content-encoding"):
-            return "the body of the answer is encoded, which the request did not ask for"
+            return "the body of the answer is encoded, though nobody asked for that"
     claims_not_run = dialect.not_run and head.status in _NOT_RUN_STATUSES
     if claims_not_run and not call.is_idempotent:
         return f"the target answered {head.status} and does not say that the call has not run"
