--- a/packages/hosted/src/acaciayard_hosted/__init__.py
+++ b/packages/hosted/src/acaciayard_hosted/__init__.py
@@ -1,4 +1,4 @@
-"""A daemon on a platform that keeps the accepted configuration and watches over the hosts."""
+"""A daemon for platforms that keep the accepted configuration and supervise the hosts."""
 
 from ._call_log import CallLog
 from ._eras import EraChange, EraGuard
--- a/packages/hosted/src/acaciayard_hosted/_build.py
+++ b/packages/hosted/src/acaciayard_hosted/_build.py
@@ -1,4 +1,4 @@
-"""Makes the parts of a hosted daemon in the order in which they need each other."""
+"""Builds a hosted daemon from its parts, in the order of their dependencies."""
 
 from __future__ import annotations
 
@@ -57,19 +57,19 @@
 
 __all__ = ["build_hosted_daemon"]
 
-#: Seconds of standstill from which a process counts as paused.
-_PAUSE_THRESHOLD: Final = 1.0
-#: Announcements that may fail to come before a target counts as gone.  A target that crashed shows
-#: itself by refusing connections, so this only has to outlast reports that come seconds late.
-_ANNOUNCEMENTS_MISSED: Final = 6
-#: Seconds for opening a connection to another daemon; they are a few milliseconds away.
-_CONNECT_WITHIN: Final = 0.2
-#: Bodies up to so many bytes are held, so that a refused upload can be offered to a second host;
-#: the largest uploads of the deployments known are a tenth of it.
-_LARGEST_HELD_BODY: Final = 4 * 1024 * 1024
-#: No slot is kept free for a higher class: the classes here differ in urgency, not in kind, and a
-#: slot that stands empty answers nobody.  While all wait, no class gets less than a sixteenth of
-#: the slots' time, and calls that others wait for get half of it.
+#: Seconds without progress from which a process counts as paused.
+_PAUSE_SECONDS: Final = 1.0
+#: Number of missed announcements after which a target counts as gone. A crashed target is detected
+#: by refused connections, so this only has to cover announcements that come seconds late.
+_MAX_MISSED_ANNOUNCEMENTS: Final = 6
+#: Timeout, in seconds, for connecting to another daemon; daemons are a few milliseconds apart.
+_CONNECT_TIMEOUT: Final = 0.2
+#: Largest request body, in bytes, that is buffered so that a refused upload can be offered to a
+#: second host; the largest uploads of the known deployments are a tenth of it.
+_MAX_HELD_BODY_BYTES: Final = 4 * 1024 * 1024
+#: No slot is reserved for a higher class: the classes here differ in urgency, not in kind, and an
+#: idle slot serves no call. While calls of all classes wait, each class gets at least a sixteenth
+#: of the slots' time, and calls made on behalf of other calls get half of it.
 _GATE_POLICY: Final = GatePolicy(lowest_share=1.0, middle_spare=0, parts=(4, 3, 1), inner_part=8)
 
 
@@ -82,21 +82,21 @@
     log: structlog.typing.FilteringBoundLogger,
     tasks: anyio.abc.TaskGroup,
 ) -> HostedDaemon:
-    """A daemon whose ports are open and whose parts do not run yet."""
+    """Build a daemon with open ports whose parts do not run yet."""
     return await _Builder(settings, platform, timers, lines, log, tasks).build()
 
 
-def _leaves(target: TargetInfo) -> bool:
+def _is_draining(target: TargetInfo) -> bool:
     return target.state == TargetState.DRAINING
 
 
-def _told_call(told: CallTold) -> str:
-    """A call at work on a target that ended, as a log line names it."""
+def _format_call(told: CallTold) -> str:
+    """Format, for a log line, a call that was running on a target that ended."""
     return f"{told.request_id} {told.fingerprint}{' blamed' if told.is_blamed else ''}"
 
 
 class _Builder:
-    """Makes the parts in the order in which they need each other."""
+    """Builds the parts in the order of their dependencies."""
 
     def __init__(
         self,
@@ -113,10 +113,10 @@
         self._lines = lines
         self._log = log
         self._tasks = tasks
-        self._seed = random.Random()
+        self._random = random.Random()
         self._traffic = Traffic()
         self._invariants = Invariants()
-        self._pause = PauseDetector(timers, threshold=_PAUSE_THRESHOLD)
+        self._pause = PauseDetector(timers, threshold=_PAUSE_SECONDS)
         self._versions = AcceptedVersions(
             platform.read_configuration, timers=timers, invariants=self._invariants, log=log
         )
@@ -141,16 +141,17 @@
     def _publish(self, targets: tuple[TargetInfo, ...]) -> None:
         if self._members is None:
             return
-        before = {(t.name, t.born) for t in self._members.table.own.targets if _leaves(t)}
+        before = {(t.name, t.born) for t in self._members.table.own.targets if _is_draining(t)}
         self._members.table.set_targets(targets)
-        if any(_leaves(t) and (t.name, t.born) not in before for t in targets):
-            # The promise that a leaving target gets nothing new must outlive this process.
+        if any(_is_draining(t) and (t.name, t.born) not in before for t in targets):
+            # The announcement that a draining target accepts no new calls must outlive this
+            # process.
             self._members.flush()
 
-    def _recall(self, past: Member, targets: LocalTargets) -> None:
-        """Take over from the others what this host had promised before its last start."""
+    def _restore_draining(self, past: Member, targets: LocalTargets) -> None:
+        """Mark the targets that this host was draining before its last start, as others recall."""
         for target in past.targets:
-            if _leaves(target) and past.state != MemberState.LEFT:
+            if _is_draining(target) and past.state != MemberState.LEFT:
                 self._log.info(
                     "leaving_recalled", target=target.name, born=target.born, of=past.incarnation
                 )
@@ -165,7 +166,7 @@
             what=news.what,
             reason=news.reason or None,
             sequence=news.sequence or None,
-            at_work="; ".join(map(_told_call, news.at_work)) or None,
+            at_work="; ".join(map(_format_call, news.at_work)) or None,
         )
 
     def _log_suspect(self, news: SuspectNews) -> None:
@@ -199,7 +200,7 @@
             traffic=self._traffic,
             host=settings.name,
             publish=self._publish,
-            lease=settings.announce_every * _ANNOUNCEMENTS_MISSED,
+            lease=settings.announce_every * _MAX_MISSED_ANNOUNCEMENTS,
             policy=_GATE_POLICY,
             suspects=self._suspects,
             is_settled=False,
@@ -216,8 +217,8 @@
         )
         await port.open(settings.control.port, self._tasks)
         await calls.open(settings.calls.ip, settings.calls.port, self._tasks)
-        members = self._membership(port)
-        members.table.on_own_past(lambda past: self._recall(past, targets))
+        members = self._make_membership(port)
+        members.table.on_own_past(lambda past: self._restore_draining(past, targets))
         client = self._platform.open_store(settings, timers=self._timers, traffic=self._traffic)
         store = self._store = EraGuard(client, log=self._log)
         caps = hosted_caps(
@@ -225,10 +226,10 @@
             members=members,
             port=port,
             timers=self._timers,
-            seed=self._seed,
+            seed=self._random,
             log=self._log,
         )
-        entry, dispatcher = self._entry(targets, members, caps)
+        entry, dispatcher = self._make_entry(targets, members, caps)
         await entry.open(settings.entry.ip, settings.entry.port, self._tasks)
         feeding = Feeding(members=members, timers=self._timers, log=self._log)
         relay = VersionRelay(
@@ -237,17 +238,17 @@
             feeding=feeding,
             port=port,
             timers=self._timers,
-            seed=self._seed,
+            seed=self._random,
             log=self._log,
         )
-        rollouts = self._rollouts = self._moving(members, feeding, port, store)
+        rollouts = self._rollouts = self._make_rollouts(members, feeding, port, store)
         follower = StoreFollower(
             store=store,
             feeding=feeding,
             place=self._platform.configuration,
             versions=self._versions,
             timers=self._timers,
-            seed=self._seed,
+            seed=self._random,
             log=self._log,
             on_record=rollouts.take_record,
         )
@@ -260,7 +261,7 @@
             store=store,
             members=members,
             timers=self._timers,
-            seed=self._seed,
+            seed=self._random,
             log=self._log,
             relay=relay,
             rollouts=rollouts,
@@ -271,7 +272,7 @@
         store.on_change(rollouts.note_era)
         store.on_change(directory.note_era)
         readiness = Readiness(self._platform.readiness_path, self._versions, log=self._log)
-        services = await self._services(targets, readiness, dispatcher, members, caps)
+        services = await self._open_services(targets, readiness, dispatcher, members, caps)
 
         return HostedDaemon(
             settings=settings,
@@ -296,10 +297,10 @@
             services=services,
         )
 
-    def _moving(
+    def _make_rollouts(
         self, members: Membership, feeding: Feeding, port: ControlPort, store: EraGuard
     ) -> HostedRollouts:
-        """This daemon's part in moving services to other versions."""
+        """Create the rollouts of this daemon."""
         return HostedRollouts(
             book=self._book,
             picker=self._picker,
@@ -309,11 +310,11 @@
             store=store,
             words=self._platform.rollouts,
             timers=self._timers,
-            seed=self._seed,
+            seed=self._random,
             log=self._log,
         )
 
-    def _membership(self, port: ControlPort) -> Membership:
+    def _make_membership(self, port: ControlPort) -> Membership:
         settings = self._settings
         own = Member(
             host=settings.name,
@@ -333,7 +334,7 @@
             timers=self._timers,
             pause=self._pause,
             seeds=(),
-            seed=self._seed,
+            seed=self._random,
             position=lambda: self._versions.version,
             detector=DetectorSettings(),
         )
@@ -341,15 +342,15 @@
         self._suspects.share(self._members)
         return self._members
 
-    def _entry(
+    def _make_entry(
         self, targets: LocalTargets, members: Membership, caps: ConnectedCaps
     ) -> tuple[EntryServer, Dispatcher]:
         settings = self._settings
         self._pool = call_pool(
-            traffic=self._traffic, timers=self._timers, connect_within=_CONNECT_WITHIN
+            traffic=self._traffic, timers=self._timers, connect_within=_CONNECT_TIMEOUT
         )
         self._picker = Picker(
-            table=members.table, timers=self._timers, seed=self._seed, rollouts=self._book
+            table=members.table, timers=self._timers, seed=self._random, rollouts=self._book
         )
         retries = settings.retries
         budgets = SharedRetryBudgets(
@@ -367,7 +368,7 @@
                 targets=targets,
                 pool=self._pool,
                 timers=self._timers,
-                seed=self._seed,
+                seed=self._random,
                 invariants=self._invariants,
                 dialect=self._platform.dialect,
                 suspects=self._suspects,
@@ -385,7 +386,7 @@
             not_serving=lambda: "",
             dialect=self._platform.dialect,
             origin=settings.service.encode(),
-            largest_held_body=_LARGEST_HELD_BODY,
+            largest_held_body=_MAX_HELD_BODY_BYTES,
             holds_chunked=True,
             events=self._calls_log,
             caps=caps.caps,
@@ -396,7 +397,7 @@
         self._versions.on_in_force(targets.use)
         return entry, dispatcher
 
-    async def _services(
+    async def _open_services(
         self,
         targets: LocalTargets,
         readiness: Readiness,
@@ -404,7 +405,7 @@
         members: Membership,
         caps: ConnectedCaps,
     ) -> tuple[HttpService, ...]:
-        """The addresses that the platform itself asks."""
+        """Open the HTTP services that the platform uses."""
         settings = self._settings
         sources = GaugeSources(
             versions=self._versions,
--- a/packages/hosted/src/acaciayard_hosted/_call_log.py
+++ b/packages/hosted/src/acaciayard_hosted/_call_log.py
@@ -1,4 +1,4 @@
-"""Logs and counts how calls end."""
+"""Logs and counts the outcomes of calls."""
 
 from __future__ import annotations
 
@@ -15,24 +15,24 @@
 
 __all__ = ["CallLog"]
 
-#: One call of so many that end well is logged; all daemons choose the same ones by the request.
-_SAMPLED: Final = 64
-#: Range of recorded times in microseconds, and digits kept.
-_LEAST_US: Final = 100
-_MOST_US: Final = 600_000_000
-_DIGITS: Final = 2
-#: Statuses of a target from which a call counts as out of the ordinary.
-_FAILED: Final = 500
-#: Lines of a traceback that are logged.
-_TRACE_LINES: Final = 8
-#: Workspaces that are counted by name: some five series of 100 bytes each.
-_MOST_WORKSPACES: Final = 200
-#: Times that may wait to be recorded.
-_PENDING: Final = 256
+#: One in this many successful calls is logged; all daemons sample the same calls, by request id.
+_SAMPLE_EVERY: Final = 64
+#: Range of recorded times in microseconds, and their significant digits.
+_MIN_US: Final = 100
+_MAX_US: Final = 600_000_000
+_SIGNIFICANT_DIGITS: Final = 2
+#: Lowest status of a target that counts as failed.
+_MIN_FAILED_STATUS: Final = 500
+#: Number of traceback lines that are logged.
+_MAX_TRACE_LINES: Final = 8
+#: Number of workspaces counted by name; each has about five series of 100 bytes.
+_MAX_WORKSPACES: Final = 200
+#: Number of times buffered before they are recorded.
+_MAX_PENDING: Final = 256
 
 
 class CallLog(CallEvents):
-    """One line for each call that did not end well, and for a sample of the others."""
+    """Logs each call that did not end well, and a sample of the others."""
 
     def __init__(self, log: structlog.typing.FilteringBoundLogger) -> None:
         self._log = log
@@ -49,52 +49,52 @@
 
     @property
     def faults(self) -> int:
-        """Connections that a fault of this program has ended."""
+        """Number of connections ended by an unexpected exception."""
         return self._faults
 
     @property
     def tries(self) -> int:
-        """Offers that calls of callers here have taken so far."""
+        """Number of offers made for calls of local callers."""
         return self._tries
 
     @property
     def pipelined(self) -> int:
-        """Requests that were read before an earlier one of their connection was answered."""
+        """Number of requests read before an earlier one of their connection was answered."""
         return self._pipelined
 
     @property
     def ended(self) -> Counter[tuple[str, str, str]]:
-        """Calls so far by route, outcome and status."""
+        """Number of calls by route, outcome and status."""
         return self._ended
 
     @property
     def by_workspace(self) -> Counter[tuple[str, str, str]]:
-        """Calls so far by workspace, outcome and status; a bounded number of workspaces."""
+        """Number of calls by workspace, outcome and status, for a bounded number of workspaces."""
         return self._by_workspace
 
     @property
     def losses(self) -> Counter[tuple[str, str]]:
-        """Calls so far that were not answered well in their goal, by route and cause."""
+        """Number of calls without a good answer within their latency goal, by route and cause."""
         return self._losses
 
     @property
     def offers(self) -> Counter[tuple[str, str]]:
-        """Calls handed over by other daemons so far, by service and outcome."""
+        """Number of calls handed over by other daemons, by service and outcome."""
         return self._offers
 
     def histograms(self) -> dict[str, Any]:
-        """Times of answered calls by route, in microseconds."""
-        self._settle()
+        """Histograms of the times of answered calls by route, in microseconds."""
+        self._record_pending()
         return self._histograms
 
-    def _settle(self) -> None:
-        """Record the times that are pending; doing many at once keeps this off the calls."""
+    def _record_pending(self) -> None:
+        """Record the buffered times; batching keeps this work out of the calls."""
         for route, ms in self._pending:
             histogram = self._histograms.get(route)
             if histogram is None:
-                histogram = HdrHistogram(_LEAST_US, _MOST_US, _DIGITS)
+                histogram = HdrHistogram(_MIN_US, _MAX_US, _SIGNIFICANT_DIGITS)
                 self._histograms[route] = histogram
-            histogram.record_value(min(_MOST_US, max(_LEAST_US, int(ms * 1000))))
+            histogram.record_value(min(_MAX_US, max(_MIN_US, int(ms * 1000))))
         self._pending.clear()
 
     def call_ended(self, ended: CallEnded) -> None:
@@ -106,21 +106,21 @@
         loss = loss_of(ended)
         if loss is not None:
             self._losses[(ended.route, loss.value)] += 1
-        is_good = ended.outcome == "answered" and ended.status < _FAILED
+        is_good = ended.outcome == "answered" and ended.status < _MIN_FAILED_STATUS
         if is_good:
             self._pending.append((ended.route, ended.ms))
-            if len(self._pending) >= _PENDING:
-                self._settle()
-            is_plain = loss is None and len(ended.tries) <= 1
-            if is_plain and not _is_sampled(ended.request_id):
+            if len(self._pending) >= _MAX_PENDING:
+                self._record_pending()
+            is_unremarkable = loss is None and len(ended.tries) <= 1
+            if is_unremarkable and not _is_sampled(ended.request_id):
                 return
         self._log_call(ended, loss)
 
     def _count_workspace(self, ended: CallEnded) -> None:
-        """Count a call for its workspace, or for all others where too many have names already."""
+        """Count a call for its workspace, or for all others if too many workspaces have names."""
         name = ended.workspace
         if name not in self._workspaces:
-            if len(self._workspaces) >= _MOST_WORKSPACES:
+            if len(self._workspaces) >= _MAX_WORKSPACES:
                 name = "(others)"
             else:
                 self._workspaces.add(name)
@@ -144,7 +144,7 @@
             behind=ended.behind or None,
             held_ms=ended.held_ms or None,
             fingerprint=ended.fingerprint or None,
-            tries=_told(ended.tries) or None,
+            tries=_format_tries(ended.tries) or None,
         )
 
     def offer_ended(self, ended: OfferEnded) -> None:
@@ -164,13 +164,13 @@
 
     def connection_failed(self, error: Exception) -> None:
         self._faults += 1
-        text = "".join(traceback.format_exception(error)[-_TRACE_LINES:])
+        text = "".join(traceback.format_exception(error)[-_MAX_TRACE_LINES:])
         self._log.error("connection_failed", error=repr(error), trace=text.replace("\n", " | "))
 
 
-def _told(tries: list[Try]) -> str:
+def _format_tries(tries: list[Try]) -> str:
     return "; ".join(f"{each.host} {each.ms:g}ms {each.outcome}" for each in tries)
 
 
 def _is_sampled(request_id: str) -> bool:
-    return zlib.crc32(request_id.encode()) % _SAMPLED == 0
+    return zlib.crc32(request_id.encode()) % _SAMPLE_EVERY == 0
--- a/packages/hosted/src/acaciayard_hosted/_daemon.py
+++ b/packages/hosted/src/acaciayard_hosted/_daemon.py
@@ -1,4 +1,4 @@
-"""All parts of one hosted daemon, and how they are taken down."""
+"""A hosted daemon with all its parts, and its shutdown."""
 
 from __future__ import annotations
 
@@ -29,69 +29,69 @@
 
 __all__ = ["HostedDaemon"]
 
-#: Seconds between two looks at what is under way during a shutdown.
-_LOOK_EVERY: Final = 0.05
-#: Answers that the platform must have got before it sends no new callers; it asks once a second.
-_REFUSALS_NOTICED: Final = 2
-#: Seconds without a request after which callers have gone elsewhere.
-_QUIET: Final = 0.3
-#: Seconds before the end of the grace time at which waiting for callers to go ends.
-_KEPT_FOR_CALLS: Final = 2.5
-#: Seconds for the other daemons to hear that the targets here take nothing more.
-_NOTICE: Final = 0.3
-#: Seconds kept at the end of the grace time for closing what is left.
-_KEPT_FOR_CLOSING: Final = 0.4
+#: Seconds between two checks for calls in progress during a shutdown.
+_POLL_INTERVAL: Final = 0.05
+#: Number of not-ready answers after which the platform sends no new callers; it asks once a second.
+_MIN_REFUSALS: Final = 2
+#: Seconds without a request after which callers are considered gone.
+_QUIET_SECONDS: Final = 0.3
+#: Seconds before the end of the grace period at which the wait for callers to leave ends.
+_RESERVED_FOR_CALLS: Final = 2.5
+#: Seconds for the other daemons to learn that the targets here accept no more calls.
+_DRAIN_NOTICE_SECONDS: Final = 0.3
+#: Seconds reserved at the end of the grace period for closing what remains.
+_RESERVED_FOR_CLOSING: Final = 0.4
 
 
 @define
 class HostedDaemon:
-    """All parts of one hosted daemon."""
+    """A hosted daemon with all its parts."""
 
-    #: What holds on this host.
+    #: Settings of this host.
     settings: HostedSettings
-    #: The platform's ways.
+    #: The adapter of the platform.
     platform: Platform
     #: Logger.
     log: structlog.typing.FilteringBoundLogger
-    #: Where its lines go.
+    #: Log output.
     lines: BoundedLines
-    #: Time.
+    #: Timer service.
     timers: EventLoopTimers
-    #: Notices pauses of the process.
+    #: Detects pauses of the process.
     pause: PauseDetector
-    #: Who else is there.
+    #: The members of the mesh.
     members: Membership
     #: The configuration in force.
     versions: AcceptedVersions
     #: Follows the store.
     follower: StoreFollower
-    #: Whether this daemon reads the store for others.
+    #: Selects the daemons that read the store.
     feeding: Feeding
-    #: Passes versions on, and catches up with other daemons.
+    #: Distributes versions between daemons.
     relay: VersionRelay
-    #: Its part in moving services to other versions.
+    #: Rollouts of services to other versions.
     rollouts: HostedRollouts
-    #: Its part in keeping the caps of workspaces.
+    #: Caps of workspaces.
     caps: MeshCaps
-    #: Finds other daemons.
+    #: Discovers other daemons.
     directory: HostDirectory
     #: Targets on this host.
     targets: LocalTargets
-    #: Calls handed over by other daemons.
+    #: Server for calls handed over by other daemons.
     calls: CallServer
-    #: Calls from callers.
+    #: Server for calls from callers.
     entry: EntryServer
     #: Streams to other daemons.
     pool: StreamPool
-    #: Answers whether this daemon is ready.
+    #: Answers readiness checks.
     readiness: Readiness
-    #: What the platform itself asks.
+    #: HTTP services that the platform uses.
     services: tuple[HttpService, ...]
-    #: What was wrong with the settings when they were read last, empty where nothing was.
+    #: Findings of the last reading of the settings, empty if there were none.
     rejected_settings: str = ""
 
     def start_parts(self, tasks: anyio.abc.TaskGroup) -> None:
-        """Start every part that runs for ever."""
+        """Start every part that runs until shutdown."""
         for part in (
             self.pause.run,
             self.members.run,
@@ -117,39 +117,39 @@
         await self.follower.run()
 
     async def stop(self) -> int:
-        """Shut down without cutting calls; returns how many were cut after all.
+        """Shut down gracefully; returns how many calls were cut off.
 
         The platform is told first, and callers are served until it has noticed; then the other
-        daemons hear that the targets here take nothing more; then what is under way ends.
+        daemons learn that the targets here accept no more calls; then the calls in progress end.
         """
-        ends = self.timers.now() + self.settings.grace - _KEPT_FOR_CLOSING
+        ends = self.timers.now() + self.settings.grace - _RESERVED_FOR_CLOSING
         self.readiness.stop()
         self.entry.announce_stop()
-        await self._wait_for_callers_to_go(ends - _KEPT_FOR_CALLS)
+        await self._wait_for_callers_to_leave(ends - _RESERVED_FOR_CALLS)
         self.targets.stop()
         self.members.flush()
-        await self.timers.sleep(_NOTICE)
+        await self.timers.sleep(_DRAIN_NOTICE_SECONDS)
         self.entry.stop()
-        while self._under_way() and self.timers.now() < ends:
-            await self.timers.sleep(_LOOK_EVERY)
-        cut = self._under_way()
+        while self._in_progress() and self.timers.now() < ends:
+            await self.timers.sleep(_POLL_INTERVAL)
+        cut = self._in_progress()
         await self.members.leave()
         self.calls.close()
         for service in self.services:
             service.close()
         return cut
 
-    async def _wait_for_callers_to_go(self, latest: float) -> None:
+    async def _wait_for_callers_to_leave(self, latest: float) -> None:
         served = self.entry.served
         quiet_since = self.timers.now()
         while (now := self.timers.now()) < latest:
             if self.entry.served != served or self.entry.running:
                 served = self.entry.served
                 quiet_since = now
-            has_noticed = self.readiness.refusals >= _REFUSALS_NOTICED
-            if has_noticed and now - quiet_since >= _QUIET:
+            has_noticed = self.readiness.refusals >= _MIN_REFUSALS
+            if has_noticed and now - quiet_since >= _QUIET_SECONDS:
                 return
-            await self.timers.sleep(_LOOK_EVERY)
+            await self.timers.sleep(_POLL_INTERVAL)
 
-    def _under_way(self) -> int:
+    def _in_progress(self) -> int:
         return self.entry.running + self.calls.running
--- a/packages/hosted/src/acaciayard_hosted/_eras.py
+++ b/packages/hosted/src/acaciayard_hosted/_eras.py
@@ -1,13 +1,12 @@
-"""The store as one daemon sees it through the changes of its era.
+"""Guards a daemon's access to the store against changes of the store's era.
 
-A store that comes back from an older copy has lost what it acknowledged last, and gives the
-offsets out again.  `EraGuard` stands between the store's client and all that ask it, and sees to
-three things in one place:
+A store that is restored from an older copy has lost its latest acknowledged writes, and assigns
+their offsets again. `EraGuard` wraps the store's client and enforces three rules in one place:
 
-- An answer of an era before the newest known changes nothing, however late it comes.
-- A read from a position of another era finds nothing: whoever follows reads the newest records.
-- A write on the condition of a position of another era is refused, or counts as not confirmed
-  where the change came while it was under way.
+- An answer of an era before the newest known one is dropped, however late it arrives.
+- A read from a position of another era returns `Expired`, so the reader reads the newest records.
+- A write conditional on a position of another era is refused, or counts as unconfirmed if the era
+  changed while the write was in progress.
 """
 
 from __future__ import annotations
@@ -36,18 +35,18 @@
 
 @frozen
 class EraChange:
-    """The store has come back from another copy."""
+    """The store was restored from another copy."""
 
-    #: The era known before.
+    #: The previous era.
     before: int
-    #: The era now.
+    #: The new era.
     now: int
 
 
 class EraGuard(KeyedLog):
-    """Passes on what a store answers in its present era.
+    """Wraps a store's client and passes on only answers of the present era.
 
-    A store that tells no era is always in era 0, and is passed through as it is.
+    A store without eras is always in era 0, and its answers pass unchanged.
 
     Example:
         store = EraGuard(client, log=log)
@@ -60,72 +59,77 @@
         self._log = log
         self._era: int | None = None
         self._changes = 0
-        self._late = 0
+        self._late_answers = 0
         self._listeners: list[Callable[[EraChange], None]] = []
 
     @property
     def era(self) -> int:
-        """The newest era that was heard of, 0 before the first answer."""
+        """The newest era known, 0 before the first answer."""
         return self._era or 0
 
     @property
     def era_changes(self) -> int:
-        """Changes of the era that this daemon has noticed."""
+        """Number of changes of the era that this daemon has noticed."""
         return self._changes
 
     @property
     def late_answers(self) -> int:
-        """Answers of an earlier era that were dropped."""
-        return self._late
+        """Number of answers of an earlier era that were dropped."""
+        return self._late_answers
 
     def on_change(self, listener: Callable[[EraChange], None]) -> None:
-        """Call `listener` with every change of the era after the first answer."""
+        """Call `listener` with each change of the era after the first answer."""
         self._listeners.append(listener)
 
     async def put(
         self, stream: str, key: str, value: bytes, *, at: int | None = None
     ) -> Appended | NotAppended | Outrun | AppendUnknown:
-        asked_in = self._era
-        if at is not None and asked_in is not None and era_of(at) != asked_in:
-            return Outrun(f"the condition is of era {era_of(at)}, the store is in era {asked_in}")
+        era_at_request = self._era
+        if at is not None and era_at_request is not None and era_of(at) != era_at_request:
+            return Outrun(
+                f"the condition is of era {era_of(at)}, the store is in era {era_at_request}"
+            )
         result = await self._store.put(stream, key, value, at=at)
         if not isinstance(result, Appended):
             return result
-        if not self._take(result.offset, asked_in):
+        if not self._accept_position(result.offset, era_at_request):
             return AppendUnknown("written in an era of the store that is over")
         if at is not None and era_of(result.offset) != era_of(at):
-            # The offset of the condition was given out again: that it held means nothing.
+            # The new era has assigned the offset of the condition again, so the condition proves
+            # nothing.
             return AppendUnknown("written on a condition of another era of the store")
         return result
 
     async def newest(self, stream: str) -> KeyedSlice | Unavailable:
-        asked_in = self._era
+        era_at_request = self._era
         result = await self._store.newest(stream)
-        if isinstance(result, KeyedSlice) and not self._take(result.next_offset, asked_in):
+        if isinstance(result, KeyedSlice) and not self._accept_position(
+            result.next_offset, era_at_request
+        ):
             return Unavailable("a late answer of an earlier era of the store")
         return result
 
     async def changes(
         self, stream: str, *, start: int, wait: float
     ) -> KeyedSlice | Expired | Unavailable:
-        asked_in = self._era
-        if asked_in is not None and era_of(start) != asked_in:
-            nothing = position_of(era=asked_in, offset=0)
-            return Expired(Bounds(first=nothing, head=nothing))
+        era_at_request = self._era
+        if era_at_request is not None and era_of(start) != era_at_request:
+            start_of_era = position_of(era=era_at_request, offset=0)
+            return Expired(Bounds(first=start_of_era, head=start_of_era))
         result = await self._store.changes(stream, start=start, wait=wait)
         match result:
             case KeyedSlice(next_offset=position) | Expired(Bounds(first=position)):
-                if not self._take(position, asked_in):
+                if not self._accept_position(position, era_at_request):
                     return Unavailable("a late answer of an earlier era of the store")
                 if era_of(position) != era_of(start):
                     return Expired(Bounds(first=position, head=position))
         return result
 
-    def _take(self, position: int, asked_in: int | None) -> bool:
-        """Note the era of an answer; false where the answer is of an era that is over.
+    def _accept_position(self, position: int, era_at_request: int | None) -> bool:
+        """Record the era of an answer; returns false if that era is over.
 
-        One that was asked for after a later era was heard of is not late: the store's count has
-        started anew, and the daemon goes with it.
+        An answer with a lower era is not late if the later era was known when it was requested:
+        then the store's era count has restarted, and the daemon adopts it.
         """
         era = era_of(position)
         known = self._era
@@ -135,8 +139,8 @@
             return True
         if era == known:
             return True
-        if era < known and asked_in != known:
-            self._late += 1
+        if era < known and era_at_request != known:
+            self._late_answers += 1
             self._log.info("store_answer_late", era=era, known=known)
             return False
         change = EraChange(known, era)
--- a/packages/hosted/src/acaciayard_hosted/_feeding.py
+++ b/packages/hosted/src/acaciayard_hosted/_feeding.py
@@ -1,4 +1,4 @@
-"""Which daemons read the store: one in each failure domain, and any that hears of no other."""
+"""Selects the feeders, the daemons that read the store: one per domain, and any isolated one."""
 
 from __future__ import annotations
 
@@ -14,24 +14,26 @@
 __all__ = ["Feeding"]
 
 _PURPOSE: Final = "reads the store"
-#: Seconds without a word from any other daemon after which one reads for itself.  Each hears of
-#: others several times a second; a host that is cut off from them may still reach the store.
-_ALONE_AFTER: Final = 2.0
-#: Seconds between two looks at who is there.
-_LOOK_EVERY: Final = 0.25
+#: Seconds without contact to any other daemon after which a daemon reads the store for itself. Each
+#: normally receives several messages a second; a host that is cut off from the others may still
+#: reach the store.
+_ISOLATED_AFTER: Final = 2.0
+#: Seconds between two selections.
+_SELECT_INTERVAL: Final = 0.25
 
 
 class Feeding:
-    """Tells this daemon whether it is to read the store for its failure domain.
+    """Decides whether this daemon reads the store for its failure domain.
 
-    One of those that read leads: it asks often, so that a read which a silent store or a cut has
-    swallowed is noticed soon.  The others have one long read pending, which the store answers at
-    once with news, and hand on what they get to the readers of the other domains.
+    One of the feeders is the lead: it polls often, so that a read that an unresponsive store or a
+    network partition has swallowed is noticed soon. Each of the others has one long poll pending,
+    which the store answers at once when there are new records, and forwards the result to the
+    feeders of the other domains.
 
-    The choice follows from the members that are known, so two daemons may both feed for a moment,
-    which costs a few calls, or none may, which the versions that travel with every probe make up
-    for within a second.  A daemon that the store turns away says so in its record, and the next
-    one in line takes over; the first in line keeps trying.
+    The selection is a function of the known members, so for a moment two daemons may both be
+    feeders, which costs a few calls, or none may be, which the versions carried by every probe make
+    up for within a second. A daemon that the store does not answer announces this in its member
+    record, and the next candidate takes over; the first one keeps trying.
     """
 
     def __init__(
@@ -48,9 +50,9 @@
         self._is_feeder = True
         self._is_lead = True
         self._heads: tuple[Member, ...] = ()
-        self._line_of_own: set[str] = set()
+        self._own_candidates: set[str] = set()
         self._lead = ""
-        self._is_outdated = True
+        self._needs_selection = True
         self._changed = anyio.Event()
         members.table.subscribe(self._note_member)
         members.on_position(lambda _host, _position: self._note_heard())
@@ -62,32 +64,32 @@
 
     @property
     def is_lead(self) -> bool:
-        """Whether this daemon is the one that asks the store often."""
+        """Whether this daemon is the feeder that polls the store often."""
         return self._is_feeder and self._is_lead
 
     @property
     def lead(self) -> Member | None:
-        """The daemon that asks the store often, `None` where none is known."""
+        """The feeder that polls the store often, `None` if none is known."""
         return self._members.table.find(self._lead)
 
     @property
     def is_alone(self) -> bool:
-        """Whether no other daemon has been heard of for a while."""
+        """Whether no other daemon has been in contact for a while."""
         return self._is_alone()
 
     @property
     def is_relieved(self) -> bool:
-        """Whether another daemon, which the store serves, reads it for this failure domain."""
+        """Whether another daemon that the store serves reads it for this failure domain."""
         own = self._members.table.own
         return any(m.domain == own.domain and m.host != own.host for m in self._heads)
 
     @property
     def changed(self) -> anyio.Event:
-        """Set with the next change of what this daemon is to do."""
+        """Set at the next change of this daemon's role."""
         return self._changed
 
     def _note_member(self, _before: Member | None, _now: Member) -> None:
-        self._is_outdated = True
+        self._needs_selection = True
 
     def _note_heard(self) -> None:
         self._heard_at = self._timers.now()
@@ -98,36 +100,36 @@
             await self._changed.wait()
 
     def note_store(self, *, is_served: bool) -> None:
-        """The store has answered this daemon, or turned it away."""
+        """Record whether the store answers this daemon, and announce a change to the members."""
         table = self._members.table
         if table.own.is_fed != is_served:
             table.set_fed(is_served)
             self._members.flush()
 
     def audience(self) -> list[Member]:
-        """The daemons that this one passes new versions on to."""
+        """The daemons of the own failure domain, to which this one pushes new versions."""
         own = self._members.table.own
         return [m for m in self._members.table.others() if m.domain == own.domain]
 
     def other_heads(self) -> list[Member]:
-        """The daemons that read the store for the other failure domains."""
+        """The feeders of the other failure domains."""
         own = self._members.table.own
         return [member for member in self._heads if member.domain != own.domain]
 
     async def run(self) -> None:
-        """Look again and again who is there, for ever."""
-        async for _ in self._timers.ticks(_LOOK_EVERY):
+        """Repeat the selection periodically; never returns."""
+        async for _ in self._timers.ticks(_SELECT_INTERVAL):
             self.look()
 
     def look(self) -> None:
-        """Decide anew."""
+        """Redo the selection."""
         before = (self._is_feeder, self._is_lead)
         is_alone = self._is_alone()
-        if self._is_outdated:
-            self._is_outdated = False
-            self._choose()
+        if self._needs_selection:
+            self._needs_selection = False
+            self._select()
         own = self._members.table.own
-        self._is_feeder = is_alone or own.host in self._line_of_own
+        self._is_feeder = is_alone or own.host in self._own_candidates
         self._is_lead = is_alone or own.host == self._lead
         if before != (self._is_feeder, self._is_lead):
             self._log.info(
@@ -137,44 +139,44 @@
             self._changed = anyio.Event()
 
     def _is_alone(self) -> bool:
-        return self._timers.now() - self._heard_at > _ALONE_AFTER
+        return self._timers.now() - self._heard_at > _ISOLATED_AFTER
 
-    def _choose(self) -> None:
-        """Who reads the store, for each failure domain, and who of these leads."""
+    def _select(self) -> None:
+        """Choose the feeders of each failure domain, and the lead among them."""
         table = self._members.table
         domains: dict[str, list[Member]] = {table.own.domain: []}
         for member in table.present():
-            if _is_sound(member):
+            if _is_alive(member):
                 domains.setdefault(member.domain, []).append(member)
-        heads = {domain: _heads_of(members) for domain, members in domains.items()}
-        self._line_of_own = {member.host for member in heads[table.own.domain]}
+        heads = {domain: _select_heads(members) for domain, members in domains.items()}
+        self._own_candidates = {member.host for member in heads[table.own.domain]}
         self._heads = tuple(each[-1] for each in heads.values() if each)
         served = [member for member in self._heads if member.is_fed]
-        line = _in_line(served or self._heads)
-        self._lead = line[0].host if line else ""
+        candidates = _rank(served or self._heads)
+        self._lead = candidates[0].host if candidates else ""
 
 
-def _in_line(members: Sequence[Member]) -> list[Member]:
-    return sorted(rendezvous(_PURPOSE, members, count=len(members)), key=_thinness)
+def _rank(members: Sequence[Member]) -> list[Member]:
+    return sorted(rendezvous(_PURPOSE, members, count=len(members)), key=_by_link_width)
 
 
-def _heads_of(members: Sequence[Member]) -> tuple[Member, ...]:
-    """The first in line, and the first that the store serves where that is another one."""
-    line = _in_line(members)
-    served = next((member for member in line if member.is_fed), None)
-    if not line or served is None or served is line[0]:
-        return tuple(line[:1])
-    return (line[0], served)
+def _select_heads(members: Sequence[Member]) -> tuple[Member, ...]:
+    """Return the first candidate, and the first one that the store serves if it is another."""
+    candidates = _rank(members)
+    served = next((member for member in candidates if member.is_fed), None)
+    if not candidates or served is None or served is candidates[0]:
+        return tuple(candidates[:1])
+    return (candidates[0], served)
 
 
-def _thinness(member: Member) -> int:
-    """Hosts with the widest links come first, in steps of a factor of two.
+def _by_link_width(member: Member) -> int:
+    """Sort key that puts hosts with the widest links first, in steps of a factor of two.
 
-    A feeder reads every version whole: four versions of 250 KB take 3.2 s on a link of 2.5 Mbit/s
+    A feeder receives each version whole: four versions of 250 KB take 3.2 s on a link of 2.5 Mbit/s
     and 0.2 s on one of 50.
     """
     return -int(member.link_mbps).bit_length()
 
 
-def _is_sound(member: Member) -> bool:
+def _is_alive(member: Member) -> bool:
     return member.state == MemberState.ALIVE
--- a/packages/hosted/src/acaciayard_hosted/_gauges.py
+++ b/packages/hosted/src/acaciayard_hosted/_gauges.py
@@ -1,4 +1,4 @@
-"""The numbers of a daemon that operators watch."""
+"""The gauges and counters of a daemon for operators."""
 
 from __future__ import annotations
 
@@ -24,29 +24,29 @@
 
 @frozen
 class GaugeSources:
-    """The parts whose numbers are shown."""
+    """The parts that the gauges read."""
 
     #: The configuration in force.
     versions: AcceptedVersions
-    #: Who else is there.
+    #: The members of the mesh.
     members: Membership
     #: The platform's store.
     store: EraGuard
-    #: Calls that are sent from here.
+    #: Dispatcher of the calls sent from this host.
     dispatcher: Dispatcher
     #: Targets on this host.
     targets: LocalTargets
-    #: Requests that are suspected of ending targets.
+    #: Requests suspected of ending targets.
     suspects: Suspects
-    #: Services that move to another version.
+    #: Rollouts of services to other versions.
     rollouts: RolloutBook
-    #: Log lines.
+    #: Log output.
     lines: BoundedLines
-    #: How calls have ended.
+    #: Outcomes of calls.
     calls: CallLog
     #: Pauses of the process.
     pause: PauseDetector
-    #: Bytes by purpose.
+    #: Traffic in bytes, by purpose.
     traffic: Traffic
     #: Timers.
     timers: EventLoopTimers
@@ -57,7 +57,7 @@
 
 
 def daemon_gauges(of: GaugeSources) -> tuple[Gauge, ...]:
-    """All gauges of a daemon; each is read when metrics are asked for."""
+    """All gauges of a daemon; each is read when metrics are requested."""
     return (
         Gauge("version", "Version in force", lambda: of.versions.version),
         Gauge("members", "Daemons that count as running", lambda: of.members.table.present_count),
@@ -122,7 +122,7 @@
 
 
 def workspace_counts(of: GaugeSources) -> tuple[Counts, ...]:
-    """What is counted by workspace; each has a bounded number of them."""
+    """The counters by workspace, each with a bounded number of workspaces."""
     return (
         Counts(
             "workspace_calls",
--- a/packages/hosted/src/acaciayard_hosted/_metrics.py
+++ b/packages/hosted/src/acaciayard_hosted/_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics as text in the exposition format of Prometheus."""
+"""Metrics in the text exposition format of Prometheus."""
 
 from __future__ import annotations
 
@@ -19,40 +19,40 @@
 
 __all__ = ["Counts", "Gauge", "MetricsPage"]
 
-_TEXT: Final = b"text/plain; version=0.0.4"
-#: Bounds of the buckets of times, in milliseconds; half the goals of the deployments known, the
-#: goals, and their time limits lie between two of them.
+_CONTENT_TYPE: Final = b"text/plain; version=0.0.4"
+#: Bucket bounds in milliseconds; half the goals of the known deployments, the goals, and their time
+#: limits lie between two of them.
 _BUCKETS_MS: Final = (5, 10, 20, 50, 100, 150, 200, 300, 500, 750, 1000, 2000, 5000)
 
 
 @frozen
 class Gauge:
-    """A number that is read when metrics are asked for."""
+    """A gauge that is read when metrics are requested."""
 
-    #: Name without the project's prefix.
+    #: Name without the prefix of the project.
     name: str
-    #: What it says, with its unit.
+    #: Help text, with the unit.
     help: str
-    #: Reads it.
+    #: Returns the value.
     read: Callable[[], float]
 
 
 @frozen
 class Counts:
-    """Numbers by some labels, read when metrics are asked for."""
+    """A labelled counter that is read when metrics are requested."""
 
-    #: Name without the project's prefix.
+    #: Name without the prefix of the project.
     name: str
-    #: What they say.
+    #: Help text.
     help: str
-    #: Names of the labels.
+    #: Label names.
     labels: tuple[str, ...]
-    #: Reads them.
+    #: Returns the values by label values.
     read: Callable[[], Mapping[Any, int]]
 
 
 class MetricsPage:
-    """Collects what the parts count; it costs nothing until somebody asks."""
+    """Renders the metrics of all parts; does no work until it is requested."""
 
     def __init__(
         self,
@@ -68,15 +68,15 @@
         self._gauges = gauges
 
     async def answer(self, _head: RequestHead, _body: bytes) -> HttpReply:
-        """The page."""
+        """Return the metrics page."""
         from prometheus_client import CollectorRegistry, generate_latest
 
         registry = CollectorRegistry()
         registry.register(self)  # type: ignore[arg-type]
-        return HttpReply(200, generate_latest(registry), _TEXT)
+        return HttpReply(200, generate_latest(registry), _CONTENT_TYPE)
 
     def collect(self) -> Iterator[Metric]:
-        """All metrics, for the exposition library."""
+        """Yield all metrics, for the exposition library."""
         from prometheus_client.core import GaugeMetricFamily, HistogramMetricFamily
 
         yield _counter(
@@ -124,23 +124,23 @@
 
 
 def _counter(
-    name: str, told: str, *, labels: tuple[str, ...], counts: Mapping[Any, float]
+    name: str, help_text: str, *, labels: tuple[str, ...], counts: Mapping[Any, float]
 ) -> Metric:
-    """A counter with a sample for each combination of its labels that has occurred."""
+    """Build a counter with a sample for each combination of labels that has occurred."""
     from prometheus_client.core import CounterMetricFamily
 
-    counter = CounterMetricFamily(name, told, labels=labels)
+    counter = CounterMetricFamily(name, help_text, labels=labels)
     for values, count in sorted(counts.items()):
         counter.add_metric(values, count)
     return counter
 
 
 def _buckets(histogram: Any) -> list[tuple[str, float]]:
-    """Counts up to each bound; the histogram is gone through once, which takes milliseconds."""
+    """Return cumulative counts by bound; one pass over the histogram takes milliseconds."""
     counts = [0] * (len(_BUCKETS_MS) + 1)
     for item in histogram.get_recorded_iterator():
-        place = bisect.bisect_left(_BUCKETS_MS, item.value_iterated_to / 1000)
-        counts[place] += item.count_added_in_this_iter_step
+        bucket = bisect.bisect_left(_BUCKETS_MS, item.value_iterated_to / 1000)
+        counts[bucket] += item.count_added_in_this_iter_step
     bounds = [*map(str, _BUCKETS_MS), "+Inf"]
     return list(zip(bounds, map(float, itertools.accumulate(counts)), strict=True))
 
--- a/packages/hosted/src/acaciayard_hosted/_platform.py
+++ b/packages/hosted/src/acaciayard_hosted/_platform.py
@@ -1,4 +1,4 @@
-"""What an adapter for a platform hands to the daemon."""
+"""The interface between the daemon and an adapter for a platform."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 
 __all__ = ["Handler", "Platform", "RolloutWords"]
 
-#: Answers requests at an address of the platform's.
+#: Answers HTTP requests at one of the addresses that the platform uses.
 Handler = Callable[[RequestHead, bytes], Awaitable[HttpReply]]
 
 
 class OpenStore(Protocol):
-    """Makes the client of the platform's store."""
+    """Creates the client of the platform's store."""
 
     def __call__(
         self, settings: HostedSettings, *, timers: TimerService, traffic: Traffic
@@ -35,48 +35,48 @@
 
 
 class RolloutWords(Protocol):
-    """How a platform spells orders and their status."""
+    """The platform's encoding of rollout orders and rollout status."""
 
-    #: The keyed stream in which the status of rollouts is kept.
+    #: The keyed stream of the status of rollouts.
     status_stream: str
 
     def status_key(self, service: str) -> str:
-        """The key of a service's status."""
+        """Return the key of a service's status."""
 
     def read_order(self, record: KeyedRecord) -> RolloutOrder | None:
-        """The order in a record, `None` where it is about something else.
+        """Decode the order in a record, `None` if the record is about something else.
 
         Raises `FindingsError` for an order that cannot be used.
         """
 
     def write_status(self, status: RolloutStatus) -> bytes:
-        """A status as the platform spells it."""
+        """Encode a status for the platform."""
 
     def read_status(self, record: KeyedRecord) -> RolloutStatus | None:
-        """The status in a record, `None` where it cannot be read."""
+        """Decode the status in a record, `None` if it cannot be read."""
 
 
 @frozen
 class Platform:
-    """A platform's ways, translated.
+    """The adapter of a platform.
 
-    Everything that is decided, kept or recovered is the daemon's own; an adapter only says how
-    things are called and spelled there.
+    All decisions, state and recovery are the daemon's; an adapter only supplies the platform's
+    names and encodings.
     """
 
     #: Header fields that callers and targets use.
     dialect: Dialect
-    #: Where the store keeps the configuration.
+    #: Location of the configuration in the store.
     configuration: StoreKey
-    #: Reads the configuration.
+    #: Parses the configuration.
     read_configuration: ConfigurationReader
-    #: Makes the client of the store.
+    #: Creates the client of the store.
     open_store: OpenStore
-    #: Makes the handler of what targets announce; it logs what it cannot use.
+    #: Creates the handler of targets' announcements; it logs announcements that it cannot use.
     announcements: Callable[[LocalTargets, FilteringBoundLogger], Handler]
-    #: Where orders to move a service to another version stand, and what operators are told.
+    #: Encoding of rollout orders, and of the status shown to operators.
     rollouts: RolloutWords
-    #: Path at which the platform asks whether the daemon is ready.
+    #: Path of the platform's readiness check.
     readiness_path: bytes
     #: Reads the settings again; raises `FindingsError`.
     read_settings: Callable[[], HostedSettings]
--- a/packages/hosted/src/acaciayard_hosted/_quotas.py
+++ b/packages/hosted/src/acaciayard_hosted/_quotas.py
@@ -1,4 +1,4 @@
-"""The part of a hosted daemon in keeping the caps of workspaces: its rules, its log lines."""
+"""Enforcement of workspace caps in a hosted daemon: its rules and its log lines."""
 
 from __future__ import annotations
 
@@ -25,11 +25,16 @@
     seed: random.Random,
     log: structlog.typing.FilteringBoundLogger,
 ) -> ConnectedCaps:
-    """The caps of a daemon; they do nothing until a configuration has workspaces with caps."""
+    """Create the caps of a daemon, inactive until a configuration has workspaces with caps."""
 
-    def tell(news: SeatNews) -> None:
+    def log_seat_news(news: SeatNews) -> None:
         log.info("cap_seat", workspace=news.workspace, seat=news.seat, held=news.is_held)
 
     return ConnectedCaps(
-        members=members, port=port, rules=settings.caps, timers=timers, seed=seed, tell=tell
+        members=members,
+        port=port,
+        rules=settings.caps,
+        timers=timers,
+        seed=seed,
+        tell=log_seat_news,
     )
--- a/packages/hosted/src/acaciayard_hosted/_readiness.py
+++ b/packages/hosted/src/acaciayard_hosted/_readiness.py
@@ -1,4 +1,4 @@
-"""Tells the platform whether callers may be sent here."""
+"""Answers the platform's readiness checks."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Readiness:
-    """Ready once a configuration is in force, and no more from the moment the daemon stops."""
+    """Ready from the first configuration in force until the daemon begins to stop."""
 
     def __init__(
         self,
@@ -26,19 +26,19 @@
         self._log = log
         self._is_stopping = False
         self._refusals = 0
-        self._said: str | None = None
+        self._logged_reason: str | None = None
 
     @property
     def refusals(self) -> int:
-        """Answers since the stop began that said so."""
+        """Number of not-ready answers since the stop began."""
         return self._refusals
 
     def stop(self) -> None:
-        """Be ready no more."""
+        """Report not ready from now on."""
         self._is_stopping = True
 
     def reason(self) -> str:
-        """Why the daemon is not ready, empty when it is."""
+        """Return why the daemon is not ready, empty if it is."""
         if self._is_stopping:
             return "stopping"
         if self._versions.newest is None:
@@ -46,12 +46,12 @@
         return ""
 
     async def answer(self, head: RequestHead, _body: bytes) -> HttpReply:
-        """Answer the platform's question."""
+        """Answer a readiness check."""
         if head.path != self._path:
             return HttpReply(404)
         reason = self.reason()
-        if reason != self._said:
-            self._said = reason
+        if reason != self._logged_reason:
+            self._logged_reason = reason
             self._log.info("readiness", ready=not reason, reason=reason or None)
         if self._is_stopping:
             self._refusals += 1
--- a/packages/hosted/src/acaciayard_hosted/_relay.py
+++ b/packages/hosted/src/acaciayard_hosted/_relay.py
@@ -1,4 +1,4 @@
-"""Hands versions from daemon to daemon: pushed in a failure domain, asked for elsewhere."""
+"""Distributes versions between daemons: pushed within a failure domain, pulled elsewhere."""
 
 from __future__ import annotations
 
@@ -28,41 +28,42 @@
 
 __all__ = ["RELAY_MESSAGES", "VersionRelay"]
 
-#: Seconds for which a daemon that hears of a newer version waits for it to be pushed first.
-_PATIENCE: Final = 0.25
-#: Seconds for asking one daemon; on the thinnest links a whole document takes half of it.
-_WITHIN: Final = 3.0
-#: A document that unpacks to more than so many bytes is refused.
-_LARGEST: Final = 64 * 1024 * 1024
-#: Bytes of a difference that fits one datagram.
-_DATAGRAM: Final = 1200
-#: Earlier documents kept to make differences from.
-_KEPT: Final = 8
-#: The difference is to nothing: the whole document.
-_WHOLE: Final = 0
+#: Seconds that a daemon waits for the push of a newer version before it asks for it.
+_PUSH_WAIT: Final = 0.25
+#: Timeout, in seconds, for asking one daemon; on the thinnest links a whole document takes half of
+#: it.
+_REQUEST_TIMEOUT: Final = 3.0
+#: Documents that decompress to more bytes are rejected.
+_MAX_DOCUMENT_BYTES: Final = 64 * 1024 * 1024
+#: Largest delta, in bytes, that fits into one datagram.
+_MAX_PUSH_BYTES: Final = 1200
+#: Number of earlier documents kept as bases of deltas.
+_MAX_KEPT_DOCUMENTS: Final = 8
+#: Base of a reply that holds the whole document.
+_NO_BASE: Final = 0
 
 
 @frozen
 class VersionRequest:
-    """First message of a stream: send me your version if it is newer."""
+    """First message of a stream: requests the peer's version if it is newer."""
 
-    #: Version that the asker has.
+    #: Version that the requesting daemon has.
     version: int
 
 
 @frozen
 class VersionReply:
-    """A newer version, as a difference."""
+    """A newer version, as a delta."""
 
-    #: Its number; not above the asker's when there is nothing newer.
+    #: Its number; at most the requested one if there is nothing newer.
     version: int
-    #: Version that the difference is to; 0 for a whole document, compressed.
+    #: Base version of the delta; 0 for a whole document, compressed.
     base: int
-    #: The difference.
+    #: The delta.
     delta: bytes
-    #: Digest of the document.
+    #: Digest of the whole document.
     digest: bytes
-    #: From where to read on in the store, negative where that is not known.
+    #: Position from which to continue reading the store, negative if unknown.
     offset: int
 
 
@@ -72,13 +73,13 @@
 
     #: Its number.
     version: int
-    #: Version that the difference is to.
+    #: Base version of the delta.
     base: int
-    #: The difference; empty where it does not fit and is to be asked for.
+    #: The delta; empty if it is too large, and then the version has to be requested.
     delta: bytes
-    #: Digest of the document.
+    #: Digest of the whole document.
     digest: bytes
-    #: From where to read on in the store, negative where that is not known.
+    #: Position from which to continue reading the store, negative if unknown.
     offset: int
 
 
@@ -90,10 +91,10 @@
 
 
 class VersionRelay:
-    """Passes new versions on, and asks a daemon that is ahead for its version.
+    """Pushes new versions to other daemons, and pulls versions from daemons that are ahead.
 
-    Every probe between daemons carries the version of its sender, so a daemon that is behind hears
-    of it within a second as long as it reaches anybody.
+    Each probe between daemons carries the version of its sender, so a daemon that is behind learns
+    of it within a second as long as it reaches any other.
     """
 
     def __init__(
@@ -112,104 +113,104 @@
         self._feeding = feeding
         self._port = port
         self._timers = timers
-        self._seed = seed
+        self._random = seed
         self._log = log
         self._ahead: dict[str, int] = {}
-        self._wanted = anyio.Event()
+        self._is_behind = anyio.Event()
         self._documents: OrderedDict[int, bytes] = OrderedDict()
         self._replies: dict[int, VersionReply] = {}
-        members.on_position(self._heard)
+        members.on_position(self._on_position)
         port.on_stream(VersionRequest, Purpose.SPREAD, self._serve)
-        port.on_datagram(VersionPush, self._take_push)
-        versions.on_version(self._pass_on)
+        port.on_datagram(VersionPush, self._on_push)
+        versions.on_version(self._on_version)
 
-    # --- passing on ---------------------------------------------------------------------------
+    # --- pushing ------------------------------------------------------------------------------
 
-    def _pass_on(self, before: AcceptedVersion | None, now: AcceptedVersion) -> None:
+    def _on_version(self, before: AcceptedVersion | None, now: AcceptedVersion) -> None:
         version = now.configuration.version
         self._documents[version] = now.document
         self._replies.clear()
-        if len(self._documents) > _KEPT:
+        if len(self._documents) > _MAX_KEPT_DOCUMENTS:
             self._documents.popitem(last=False)
         if not self._feeding.is_feeder or (before is None and not now.is_first_hand):
             return
-        push = self._push_of(before, now)
-        audience = self._feeding.audience()
+        push = self._make_push(before, now)
+        receivers = self._feeding.audience()
         if now.is_first_hand:
-            audience.extend(self._feeding.other_heads())
-        for member in audience:
+            receivers.extend(self._feeding.other_heads())
+        for member in receivers:
             self._port.send_datagram(push, member.control)
 
-    def _push_of(self, before: AcceptedVersion | None, now: AcceptedVersion) -> VersionPush:
-        """What brings a version, or only word of it where its difference fits no datagram."""
+    def _make_push(self, before: AcceptedVersion | None, now: AcceptedVersion) -> VersionPush:
+        """Build the push for a version; its delta is empty if too large for one datagram."""
         version = now.configuration.version
         if before is None:
-            return VersionPush(version, _WHOLE, b"", digest_of(now.document), now.offset)
-        reply = self._reply_to(before.configuration.version)
-        delta = reply.delta if len(reply.delta) <= _DATAGRAM else b""
+            return VersionPush(version, _NO_BASE, b"", digest_of(now.document), now.offset)
+        reply = self._make_reply(before.configuration.version)
+        delta = reply.delta if len(reply.delta) <= _MAX_PUSH_BYTES else b""
         return VersionPush(version, reply.base, delta, reply.digest, reply.offset)
 
-    def _take_push(self, push: VersionPush, sender: Address) -> None:
+    def _on_push(self, push: VersionPush, sender: Address) -> None:
         if push.version <= self._versions.version:
             return
         if push.delta and push.base == self._versions.version:
             reply = VersionReply(push.version, push.base, push.delta, push.digest, push.offset)
-            if self._take(reply, sender):
+            if self._accept_reply(reply, sender):
                 return
         for member in self._members.table.others():
             if member.control == sender:
-                self._heard(member.host, push.version)
+                self._on_position(member.host, push.version)
 
-    def _reply_to(self, base: int) -> VersionReply:
-        """The version here, as a difference to `base` where that is known."""
+    def _make_reply(self, base: int) -> VersionReply:
+        """Build a reply with the local version, as a delta to `base` if that document is kept."""
         newest = self._versions.newest
         if newest is None or newest.configuration.version <= base:
             return VersionReply(self._versions.version, base, b"", b"", -1)
-        known = base if base in self._documents else _WHOLE
-        reply = self._replies.get(known)
+        reply_base = base if base in self._documents else _NO_BASE
+        reply = self._replies.get(reply_base)
         if reply is None:
             document = newest.document
-            if known == _WHOLE:
+            if reply_base == _NO_BASE:
                 delta = zlib.compress(document, 1)
             else:
-                delta = make_delta(self._documents[known], document)
+                delta = make_delta(self._documents[reply_base], document)
             reply = VersionReply(
-                newest.configuration.version, known, delta, digest_of(document), newest.offset
+                newest.configuration.version, reply_base, delta, digest_of(document), newest.offset
             )
-            self._replies[known] = reply
+            self._replies[reply_base] = reply
         return reply
 
     async def _serve(self, request: VersionRequest, stream: MessageStream) -> None:
-        await stream.send(self._reply_to(request.version))
+        await stream.send(self._make_reply(request.version))
 
     # --- catching up --------------------------------------------------------------------------
 
-    def _heard(self, host: str, version: int) -> None:
+    def _on_position(self, host: str, version: int) -> None:
         if version > self._versions.version:
             self._ahead[host] = version
-            self._wanted.set()
+            self._is_behind.set()
 
     async def run(self) -> None:
-        """Catch up with daemons that are ahead, for ever."""
+        """Catch up with daemons that are ahead; never returns."""
         while True:
-            await self._wanted.wait()
-            self._wanted = anyio.Event()
+            await self._is_behind.wait()
+            self._is_behind = anyio.Event()
             if self._versions.newest is not None:
-                await self._timers.sleep(_PATIENCE * self._seed.uniform(0.5, 1.5))
+                await self._timers.sleep(_PUSH_WAIT * self._random.uniform(0.5, 1.5))
             await self._catch_up()
 
     async def _catch_up(self) -> None:
         ahead = {h: v for h, v in self._ahead.items() if v > self._versions.version}
         self._ahead.clear()
         while ahead:
-            host = self._nearest_of(ahead)
+            host = self._choose_host(ahead)
             member = self._members.table.find(host)
             if member is not None and await self.ask(member.control):
                 return
             del ahead[host]
 
-    def _nearest_of(self, ahead: dict[str, int]) -> str:
-        """One in the own failure domain before others, then the one that is furthest ahead."""
+    def _choose_host(self, ahead: dict[str, int]) -> str:
+        """Choose a host, in the own failure domain if possible, then the one furthest ahead."""
         own = self._members.table.own.domain
 
         def rank(host: str) -> tuple[bool, int]:
@@ -219,8 +220,8 @@
         return max(ahead, key=rank)
 
     async def ask(self, address: Address) -> bool:
-        """Ask one daemon; true when its version was newer and is in force now."""
-        with self._timers.timeout(_WITHIN):
+        """Ask one daemon; returns true if its version was newer and is now in force."""
+        with self._timers.timeout(_REQUEST_TIMEOUT):
             try:
                 stream = await self._port.connect(address, Purpose.SPREAD)
             except StreamLostError as error:
@@ -229,7 +230,7 @@
             try:
                 await stream.send(VersionRequest(self._versions.version))
                 reply = await stream.receive()
-                if not isinstance(reply, VersionReply) or not self._take(reply, address):
+                if not isinstance(reply, VersionReply) or not self._accept_reply(reply, address):
                     return False
                 await self._versions.until_read()
                 return self._versions.version >= reply.version
@@ -239,22 +240,22 @@
                 stream.close()
         return False
 
-    def _take(self, reply: VersionReply, address: Address) -> bool:
+    def _accept_reply(self, reply: VersionReply, address: Address) -> bool:
         if reply.version <= self._versions.version:
             return False
-        document = self._document_of(reply, address)
+        document = self._decode_document(reply, address)
         if document is None:
             return False
         return self._versions.offer(
             document, source=f"peer {address.ip}", version=reply.version, offset=reply.offset
         )
 
-    def _document_of(self, reply: VersionReply, address: Address) -> bytes | None:
-        """The whole document in a reply, `None` where it does not fit what is held here."""
+    def _decode_document(self, reply: VersionReply, address: Address) -> bytes | None:
+        """Return the whole document of a reply, `None` if it does not apply to the local one."""
         newest = self._versions.newest
         try:
-            if reply.base == _WHOLE:
-                document = zlib.decompressobj().decompress(reply.delta, _LARGEST)
+            if reply.base == _NO_BASE:
+                document = zlib.decompressobj().decompress(reply.delta, _MAX_DOCUMENT_BYTES)
             elif newest is not None and reply.base == newest.configuration.version:
                 document = apply_delta(newest.document, reply.delta)
             else:
--- a/packages/hosted/src/acaciayard_hosted/_rollouts.py
+++ b/packages/hosted/src/acaciayard_hosted/_rollouts.py
@@ -1,4 +1,4 @@
-"""The part of a daemon in moving services to other versions: what is told, reported and written."""
+"""Connects the rollouts of a daemon with the other daemons and with the store."""
 
 from __future__ import annotations
 
@@ -45,44 +45,43 @@
 
 __all__ = ["HostedRollouts"]
 
-#: Seconds between two words of the leading daemon on a rollout that is under way; each costs a
-#: datagram of 80 bytes to each daemon.  Three may be lost before the others send nothing more to
-#: the new version.
-_TELL_EVERY: Final = 0.4
-#: The same where all are decided; whoever joins is told at once.
-_TELL_SELDOM: Final = 5.0
-#: Seconds between two reports to the leading daemon.
-_REPORT_EVERY: Final = 0.4
-#: The same while all wait for the last calls at the old version.
-_REPORT_SOON: Final = 0.15
-#: Seconds between two looks at the evidence.  A version that fails every third call is found by
-#: some ten of them, which are there after half a second of its trial.
-_LOOK_EVERY: Final = 0.1
-#: Seconds between two looks whether the store has what it should have.
-_SETTLE_EVERY: Final = 0.2
-
-
-class _StoredStatus(StatusStore):
-    """The status of rollouts in the platform's store."""
+#: Seconds between two messages of the lead daemon about a running rollout; each costs a datagram of
+#: 80 bytes per daemon. Three may be lost before the others send no more calls to the new version.
+_TELL_INTERVAL: Final = 0.4
+#: The same if all rollouts are decided; a daemon that joins is told at once.
+_IDLE_INTERVAL: Final = 5.0
+#: Seconds between two reports to the lead daemon.
+_REPORT_INTERVAL: Final = 0.4
+#: The same while all daemons wait for the last calls at the old version.
+_FULL_STAGE_REPORT_INTERVAL: Final = 0.15
+#: Seconds between two evaluations of the evidence. A version that fails every third call is
+#: detected after about ten calls, which have been made half a second into its trial.
+_EVALUATE_INTERVAL: Final = 0.1
+#: Seconds between two checks that the store holds the current status.
+_SETTLE_INTERVAL: Final = 0.2
+
+
+class _KeyedStatusStore(StatusStore):
+    """Stores the status of rollouts in the platform's store."""
 
     def __init__(self, store: KeyedLog, words: RolloutWords) -> None:
         self._store = store
-        self._words = words
+        self._codec = words
 
     async def read(self, service: str) -> StatusFound | StatusLost:
-        found = await self._store.newest(self._words.status_stream)
+        found = await self._store.newest(self._codec.status_stream)
         if isinstance(found, Unavailable):
             return StatusLost(found.reason)
-        key = self._words.status_key(service)
+        key = self._codec.status_key(service)
         records = [record for record in found.records if record.key == key]
-        status = self._words.read_status(records[-1]) if records else None
+        status = self._codec.read_status(records[-1]) if records else None
         return StatusFound(status, found.next_offset)
 
     async def write(self, status: RolloutStatus, *, position: int) -> bool | StatusLost:
         result = await self._store.put(
-            self._words.status_stream,
-            self._words.status_key(status.service),
-            self._words.write_status(status),
+            self._codec.status_stream,
+            self._codec.status_key(status.service),
+            self._codec.write_status(status),
             at=position,
         )
         match result:
@@ -94,7 +93,7 @@
 
 
 class HostedRollouts:
-    """Connects the book and the conductor with the other daemons and the store."""
+    """Connects the rollout book and the conductor with the other daemons and the store."""
 
     def __init__(
         self,
@@ -114,60 +113,60 @@
         self._members = members
         self._feeding = feeding
         self._port = port
-        self._words = words
+        self._codec = words
         self._timers = timers
         self._log = log
-        self._has_any = anyio.Event()
+        self._has_rollouts = anyio.Event()
         self._rejected: set[tuple[str, int]] = set()
         self._changes = 0
         self._conductor = Conductor(
             book=book,
             fleet=Fleet(
                 present=self._present,
-                gone_within=self._gone_within,
+                gone_within=self._lost_within,
                 slots=picker.slots_by_version,
                 hosts=picker.hosts_by_version,
                 leads=lambda: feeding.is_lead,
-                has_most=self._has_most,
+                has_most=self._sees_majority,
             ),
-            store=_StoredStatus(store, words),
+            store=_KeyedStatusStore(store, words),
             timers=timers,
             seed=seed,
             note=lambda event, fields: log.info(event, **fields),
         )
         members.table.subscribe(self._on_member)
-        port.on_datagram(RolloutTold, self._take_told)
-        port.on_datagram(RolloutReport, lambda report, _sender: self._take_report(report))
+        port.on_datagram(RolloutTold, self._on_told)
+        port.on_datagram(RolloutReport, lambda report, _sender: self._on_report(report))
         port.on_datagram(RolloutAsk, lambda _ask, sender: self._tell([sender]))
 
-    # --- the others ---------------------------------------------------------------------------
+    # --- members ------------------------------------------------------------------------------
 
     def _present(self) -> frozenset[MemberStart]:
         return frozenset(_start_of(member) for member in self._members.table.present())
 
-    def _gone_within(self, seconds: float) -> frozenset[MemberStart]:
+    def _lost_within(self, seconds: float) -> frozenset[MemberStart]:
         lost = self._members.table.lost_since(self._timers.now() - seconds)
         return frozenset(_start_of(member) for member in lost)
 
-    def _has_most(self) -> bool:
+    def _sees_majority(self) -> bool:
         return self._members.table.present_count > len(self._members.table.lost())
 
     def _on_member(self, before: Member | None, now: Member) -> None:
-        """Tell a daemon that has come where rollouts stand, before it sends anything."""
+        """Tell a daemon that has joined the state of rollouts, before it sends any calls."""
         is_new = before is None or before.incarnation != now.incarnation
         if is_new and now.is_present and self._feeding.is_lead:
             self._tell([now.control])
 
     def ask(self, address: Address) -> None:
-        """Ask a daemon that was met where rollouts stand."""
+        """Ask a daemon for the state of rollouts."""
         self._port.send_datagram(RolloutAsk(self._members.table.own.host), address)
 
-    # --- what comes in ------------------------------------------------------------------------
+    # --- receiving ----------------------------------------------------------------------------
 
     def take_record(self, record: KeyedRecord) -> None:
-        """Take a record beside the configuration; one that is no order of a rollout is not ours."""
+        """Process a record other than the configuration; ignore it if it is no rollout order."""
         try:
-            order = self._words.read_order(record)
+            order = self._codec.read_order(record)
         except FindingsError as findings:
             if (record.key, record.offset) not in self._rejected:
                 self._rejected.add((record.key, record.offset))
@@ -176,15 +175,15 @@
         if order is not None:
             self._conductor.take_order(order)
 
-    def _take_told(self, told: RolloutTold, _sender: Address) -> None:
+    def _on_told(self, told: RolloutTold, _sender: Address) -> None:
         self._book.merge(told.rollouts, source="member")
 
-    def _take_report(self, report: RolloutReport) -> None:
+    def _on_report(self, report: RolloutReport) -> None:
         self._conductor.take_report(report)
 
     def note(self, news: RolloutNews) -> None:
-        """Something has changed: log it, and where this daemon leads, tell all at once."""
-        self._has_any.set()
+        """Log a change of a rollout and, if this daemon leads, tell all others at once."""
+        self._has_rollouts.set()
         self._changes += 1
         rollout = news.rollout
         self._log.info(
@@ -204,13 +203,13 @@
             self._tell_all()
 
     def note_era(self, change: EraChange) -> None:
-        """The store has come back from another copy: see to what it says of rollouts."""
+        """Check the store's record of rollouts again after it was restored from another copy."""
         self._conductor.note_era()
         self._changes += 1
         if self._book.all:
             self._log.info("rollouts_checked", era=change.now, rollouts=len(self._book.all))
 
-    # --- what goes out ------------------------------------------------------------------------
+    # --- sending ------------------------------------------------------------------------------
 
     def _tell(self, addresses: list[Address]) -> None:
         rollouts = self._book.all
@@ -223,22 +222,22 @@
         self._tell([member.control for member in self._members.table.others()])
 
     def _report(self) -> None:
-        """Report to the daemon that leads."""
+        """Report to the lead daemon."""
         own = self._members.table.own
         lead = self._feeding.lead
         for report in self._book.reports(own.host, own.incarnation):
             if self._feeding.is_lead:
-                self._take_report(report)
+                self._on_report(report)
             elif lead is not None:
                 self._port.send_datagram(report, lead.control)
 
     async def run(self) -> None:
-        """Take part for ever; nothing wakes before the first order is heard of."""
-        await self._has_any.wait()
+        """Take part in rollouts; never returns, and stays idle until the first order arrives."""
+        await self._has_rollouts.wait()
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._run_telling)
             tasks.start_soon(self._run_reporting)
-            tasks.start_soon(self._run_looking)
+            tasks.start_soon(self._run_evaluating)
             tasks.start_soon(self._run_settling)
 
     def _is_any_running(self) -> bool:
@@ -248,11 +247,11 @@
         while True:
             if self._feeding.is_lead:
                 self._tell_all()
-                if not self._feeding.is_alone or self._is_only_one():
+                if not self._feeding.is_alone or self._is_sole_member():
                     self._book.merge(self._book.all, source="own")
-            await self._pause(_TELL_EVERY, _TELL_SELDOM)
+            await self._pause(_TELL_INTERVAL, _IDLE_INTERVAL)
 
-    def _is_only_one(self) -> bool:
+    def _is_sole_member(self) -> bool:
         table = self._members.table
         return table.present_count == 1 and not table.lost()
 
@@ -260,28 +259,30 @@
         while True:
             self._report()
             is_full = any(r.is_running and r.stage == Stage.FULL for r in self._book.all)
-            await self._pause(_REPORT_SOON if is_full else _REPORT_EVERY, _TELL_SELDOM)
+            await self._pause(
+                _FULL_STAGE_REPORT_INTERVAL if is_full else _REPORT_INTERVAL, _IDLE_INTERVAL
+            )
 
-    async def _run_looking(self) -> None:
+    async def _run_evaluating(self) -> None:
         while True:
             self._conductor.look()
-            await self._pause(_LOOK_EVERY, _TELL_SELDOM)
+            await self._pause(_EVALUATE_INTERVAL, _IDLE_INTERVAL)
 
     async def _run_settling(self) -> None:
         while True:
             await self._conductor.settle()
             is_due = self._feeding.is_lead and not self._conductor.is_settled
-            await self._pause(_SETTLE_EVERY, _SETTLE_EVERY if is_due else _TELL_SELDOM)
+            await self._pause(_SETTLE_INTERVAL, _SETTLE_INTERVAL if is_due else _IDLE_INTERVAL)
 
     async def _pause(self, seconds: float, idle: float) -> None:
-        """Wait for `seconds`, and for up to `idle` where no rollout runs and none changes."""
+        """Wait for `seconds`, and up to `idle` in total while no rollout runs and none changes."""
         ends = self._timers.now() + idle
         seen = self._changes
         await self._timers.sleep(seconds)
         while seen == self._changes and self._timers.now() < ends:
             if self._is_any_running():
                 return
-            await self._timers.sleep(_TELL_EVERY)
+            await self._timers.sleep(_TELL_INTERVAL)
 
 
 def _start_of(member: Member) -> MemberStart:
--- a/packages/hosted/src/acaciayard_hosted/_run.py
+++ b/packages/hosted/src/acaciayard_hosted/_run.py
@@ -1,4 +1,4 @@
-"""Runs a hosted daemon until it is told to stop."""
+"""Runs a hosted daemon until it receives a stop signal."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
 
 __all__ = ["run_platform_daemon"]
 
-#: Objects made, less those freed, after which the collector looks through the young ones, and
-#: such looks after which it looks through older ones.  With 20,000 a daemon held 26 MB after 1,100
-#: calls in place of 24, for 0.5 to 1 % less processor time a call.
-_YOUNG_OBJECTS: Final = 3_000
-_COLLECTIONS: Final = 10
-#: Seconds between two looks at the settings; one costs 0.1 ms of processor time.
-_LOOK_EVERY: Final = 2.0
+#: Thresholds of the cyclic garbage collector: net allocations before a collection of the youngest
+#: generation, and collections of a generation before one of the next older. With 20,000 allocations
+#: a daemon used 26 MB after 1,100 calls instead of 24, for 0.5 to 1 % less processor time per call.
+_YOUNG_THRESHOLD: Final = 3_000
+_OLDER_THRESHOLD: Final = 10
+#: Seconds between two checks of the settings; one costs 0.1 ms of processor time.
+_RELOAD_INTERVAL: Final = 2.0
 
 
 def run_platform_daemon(settings: HostedSettings, platform: Platform) -> None:
@@ -48,7 +48,7 @@
                 settings, platform, timers=timers, lines=lines, log=log, tasks=tasks
             )
             daemon.start_parts(tasks)
-            _spare_collector()
+            _configure_collector()
             account.watch_collector()
             account.switch(ProcessorPart.REST)
             log.info(
@@ -67,25 +67,25 @@
                 break
             cut = await daemon.stop()
             log.info("stopped", calls_cut=cut)
-            log.info("processor_time", **_told(account))
+            log.info("processor_time", **_processor_fields(account))
             tasks.cancel_scope.cancel()
 
 
-def _told(account: ProcessorAccount) -> dict[str, float]:
-    """Seconds of processor time by part, and how often tasks of each were woken, for a log line."""
+def _processor_fields(account: ProcessorAccount) -> dict[str, float]:
+    """Return processor time and task wake-ups by part, as fields of a log line."""
     seconds = {f"{part.value}_s": round(spent, 3) for part, spent in account.seconds().items()}
     steps = {f"{part.value}_steps": count for part, count in account.steps.items() if count}
     return {**seconds, **steps}
 
 
 async def _watch_settings(daemon: HostedDaemon) -> None:
-    """Take settings that change without a signal, for ever."""
-    async for _ in daemon.timers.ticks(_LOOK_EVERY):
+    """Reload settings that change without a signal; never returns."""
+    async for _ in daemon.timers.ticks(_RELOAD_INTERVAL):
         _reload(daemon, asked=False)
 
 
 def _reload(daemon: HostedDaemon, *, asked: bool) -> None:
-    """Take what may change in the settings while the daemon runs; bad ones change nothing."""
+    """Reload the settings that can change at run time; invalid ones are logged and ignored."""
     try:
         settings = daemon.platform.read_settings()
     except FindingsError as findings:
@@ -100,8 +100,8 @@
         daemon.log.info("reloaded", changed=changed, asked=asked)
 
 
-def _spare_collector() -> None:
-    """Have the cyclic garbage collector pass over what stands for good, and run seldom."""
+def _configure_collector() -> None:
+    """Exempt long-lived objects from garbage collection, and make collections rare."""
     gc.collect()
     gc.freeze()
-    gc.set_threshold(_YOUNG_OBJECTS, _COLLECTIONS, _COLLECTIONS)
+    gc.set_threshold(_YOUNG_THRESHOLD, _OLDER_THRESHOLD, _OLDER_THRESHOLD)
--- a/packages/hosted/src/acaciayard_hosted/_settings.py
+++ b/packages/hosted/src/acaciayard_hosted/_settings.py
@@ -1,4 +1,4 @@
-"""What a daemon has to be told about its host."""
+"""Settings of a daemon for its host."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 
 @frozen
 class RetrySettings:
-    """How many repeats of calls all daemons together may make, by service."""
+    """Limits on retries of calls by all daemons together, by service."""
 
-    #: Repeats allowed per call of the service.
+    #: Retries allowed per call of the service.
     ratio: float = 0.2
-    #: Repeats allowed in a window besides, by all daemons together.
+    #: Additional retries allowed per window, by all daemons together.
     slack: float = 50.0
     #: Length of the window, in seconds.
     window: float = 10.0
@@ -26,53 +26,53 @@
 
 @frozen
 class RolloutSettings:
-    """How much a version gets of which nothing is proved yet."""
+    """Limits on the calls sent to an unproven version."""
 
-    #: Greatest share of the calls of its service, all daemons together; 0 where operators give no
-    #: orders to move services, and targets of all versions are alike.
+    #: Largest share of the calls of its service, over all daemons; 0 if operators order no rollouts
+    #: and targets of all versions are equivalent.
     exposure_share: float = 0.0
 
 
 @frozen
 class HostedSettings:
-    """Who and where a host is, and what holds on it."""
+    """Identity, addresses and limits of a host."""
 
-    #: Name, unique in the mesh.
+    #: Host name, unique in the mesh.
     name: str
     #: Failure domain.
     failure_domain: str
-    #: Service whose target stands on this host; empty for none.
+    #: Service whose target runs on this host; empty for none.
     service: str
-    #: Where other daemons reach this one, for control.
+    #: Control address, used by other daemons.
     control: Address
-    #: Where other daemons hand over calls.
+    #: Address at which other daemons hand over calls.
     calls: Address
-    #: Where callers on this host send their requests.
+    #: Address for requests of callers on this host.
     entry: Address
-    #: Where the platform asks whether this daemon is ready.
+    #: Address of the platform's readiness checks.
     readiness: Address
-    #: Where targets on this host announce themselves.
+    #: Address for announcements of targets on this host.
     announcements: Address
-    #: Where metrics are served.
+    #: Address that serves metrics.
     metrics: Address
-    #: The platform's store.
+    #: Address of the platform's store.
     store: Address
-    #: Where other daemons reach `calls` through an address translator on this host; `None` for
-    #: where it listens.  Its IP number is that of `control`.
+    #: Address of `calls` as other daemons reach it through address translation on this host; `None`
+    #: for the listening address. Its IP address is that of `control`.
     calls_advertised: Address | None = None
     #: Seconds between two announcements of a target.
     announce_every: float = 1.0
-    #: Bandwidth of the host's link in Mbit/s, 0 where it is not known.
+    #: Bandwidth of the host's link in Mbit/s, 0 if unknown.
     link_mbps: float = 0.0
-    #: Seconds from the order to stop until the process is killed.
+    #: Seconds from the stop signal until the process is killed.
     grace: float = 6.0
-    #: Repeats of calls.
+    #: Limits on retries.
     retries: RetrySettings = field(factory=RetrySettings)
-    #: Services that move to another version.
+    #: Limits on rollouts.
     rollouts: RolloutSettings = field(factory=RolloutSettings)
-    #: What is tolerated beyond the cap of a workspace.
+    #: Tolerances beyond the cap of a workspace.
     caps: CapRules = field(factory=CapRules)
 
     def with_changes(self, **changes: Any) -> HostedSettings:
-        """A copy with some attributes changed."""
+        """Return a copy with some attributes changed."""
         return evolve(self, **changes)
--- a/packages/hosted/src/acaciayard_hosted/_versions.py
+++ b/packages/hosted/src/acaciayard_hosted/_versions.py
@@ -1,12 +1,13 @@
-"""Whole configurations that were accepted elsewhere: the newest one that this daemon knows.
+"""Puts complete configurations that the platform's store has accepted in force.
 
-The platform's store has accepted a configuration before any daemon hears of it, and keeps the
-newest one for ever.  So a daemon needs no records before it, no witnesses and no floor: it puts a
-configuration in force as soon as it holds the whole of it and it is newer than the one in force.
+The store accepts a configuration before any daemon receives it, and keeps the newest one for ever.
+So a daemon needs no earlier records, no witnesses and no floor, unlike one that distributes
+changes: it puts a configuration in force as soon as it holds the whole document and the version is
+newer than the one in force.
 
-Calls wait while a document is read, so a long one is read in slices with calls in between.  The
-version in force stays until the whole of the next one was read; what arrives meanwhile waits, and
-of that only the newest is read.
+Calls wait while a document is parsed, so a long document is parsed in slices with calls in between.
+The version in force stays until the next one is parsed completely; documents that arrive meanwhile
+wait, and only the newest of these is parsed.
 """
 
 from __future__ import annotations
@@ -31,47 +32,48 @@
 
 __all__ = ["AcceptedVersion", "AcceptedVersions", "ConfigurationReader"]
 
-#: A reading that yields now and then, so that others may run, and returns the configuration.
+#: A generator that yields between slices of work, so that other tasks can run, and returns the
+#: configuration.
 ConfigurationSlices = Generator[None, None, Configuration]
-#: Makes a configuration of a document, at once or in slices; takes over from the earlier one what
-#: has not changed.  Raises `FindingsError`.
+#: Parses a document into a configuration, at once or in slices; reuses unchanged parts of the
+#: earlier configuration. Raises `FindingsError`.
 ConfigurationReader = Callable[[bytes, Configuration | None], Configuration | ConfigurationSlices]
-#: Seconds for which a document is read before others have their turn.  A slice ends up to a
-#: millisecond later, and a call is not to wait for five.
-_SLICE: Final = 0.002
-#: Findings of one bad document that are logged.
-_MOST_FINDINGS: Final = 5
-#: Lines of a traceback that are logged.
-_TRACE_LINES: Final = 8
+#: Seconds that one slice takes before other tasks run. A slice may overrun by up to a millisecond,
+#: and a call must not wait for five.
+_SLICE_SECONDS: Final = 0.002
+#: Findings of one invalid document that are logged.
+_MAX_LOGGED_FINDINGS: Final = 5
+#: Number of traceback lines that are logged.
+_MAX_TRACE_LINES: Final = 8
 
 
 @frozen
 class AcceptedVersion:
-    """A configuration with the document that it was read from."""
+    """A configuration and the document that it was parsed from."""
 
-    #: The document, as the operators' store holds it.
+    #: The document as the operators' store holds it.
     document: bytes
-    #: What it says.
+    #: The parsed configuration.
     configuration: Configuration
-    #: When this daemon put it in force, by the timer service.
+    #: Time at which this daemon put it in force, on the clock of the timer service.
     since: float
-    #: From where to read on in the store, negative where that is not known.
+    #: Position from which to continue reading the store, negative if unknown.
     offset: int = -1
-    #: Whether this daemon read it from the store itself, and others may not have it yet.
+    #: Whether this daemon read it from the store itself, so that others may not have it yet.
     is_first_hand: bool = False
 
 
 @frozen
 class _Offer:
-    """A document that may be put in force."""
+    """A document offered for activation."""
 
     #: The document.
     document: bytes
     #: Where it came from.
     source: str
-    #: Its version as far as whoever sent it has told, else 0.
+    #: Its version as announced by the sender, 0 if unknown.
     version: int
-    #: From where to read on in the store, negative where that is not known.
+    #: Position from which to continue reading the store, negative if unknown.
     offset: int
     #: Whether this daemon read it from the store itself.
     is_first_hand: bool
@@ -79,24 +81,24 @@
 
 @define
 class _Reading:
-    """A document that is being read."""
+    """A document that is being parsed."""
 
-    #: The document, and where it came from.
+    #: The offer that is being parsed.
     offer: _Offer
-    #: What reads it.
+    #: The generator that parses it.
     slices: ConfigurationSlices
-    #: Slices so far.
+    #: Number of slices so far.
     count: int = 0
-    #: Set once it was read.
+    #: Set once parsing has ended.
     done: anyio.Event = field(factory=anyio.Event)
 
 
-#: Told the version before, `None` for the first one, and the one that was put in force.
+#: Called with the previous version, `None` for the first one, and the version put in force.
 VersionListener = Callable[[AcceptedVersion | None, AcceptedVersion], None]
 
 
 class AcceptedVersions:
-    """Puts whole configurations in force, each newer than the one before.
+    """Puts complete configurations in force, each newer than the previous one.
 
     Example:
         versions = AcceptedVersions(read_document, timers=timers, invariants=invariants, log=log)
@@ -121,7 +123,8 @@
         self._last_rejected = b""
         self._passed_over = 0
         self._reading: _Reading | None = None
-        #: What waits until the reading is over, by whether its version was told.
+        #: Offers that wait for the current parse to end, keyed by whether their version was
+        #: announced.
         self._waiting: dict[bool, _Offer] = {}
         self._preparations: list[Callable[[Configuration], Iterator[None]]] = []
         self._listeners: list[Callable[[Configuration], None]] = []
@@ -140,33 +143,33 @@
 
     @property
     def rejected(self) -> int:
-        """Documents that were not fit to be put in force."""
+        """Number of documents rejected as invalid."""
         return self._rejected
 
     @property
     def passed_over(self) -> int:
-        """Documents that were not read, since a newer one came while they waited."""
+        """Number of documents skipped because a newer one arrived while they waited."""
         return self._passed_over
 
     @property
     def changed(self) -> Signal:
-        """Notified with every version put in force."""
+        """Notified with each version put in force."""
         return self._changed
 
     def on_prepare(self, prepare: Callable[[Configuration], Iterator[None]]) -> None:
-        """Have each configuration made ready for by `prepare`, in slices, before it is in force."""
+        """Run `prepare` on each configuration, in slices, before it is put in force."""
         self._preparations.append(prepare)
 
     def on_in_force(self, listener: Callable[[Configuration], None]) -> None:
-        """Call `listener` with every configuration put in force."""
+        """Call `listener` with each configuration that is put in force."""
         self._listeners.append(listener)
 
     def on_version(self, listener: VersionListener) -> None:
-        """Call `listener` with the version before and the one that was put in force."""
+        """Call `listener` with the previous version and the one put in force."""
         self._version_listeners.append(listener)
 
     async def until_read(self) -> None:
-        """Return once nothing that was offered is being read."""
+        """Return once no offered document is being parsed."""
         while self._reading is not None:
             await self._reading.done.wait()
 
@@ -179,38 +182,39 @@
         offset: int = -1,
         is_first_hand: bool = False,
     ) -> bool:
-        """Put a document in force if it is valid and newer; true when it was, or is being read.
+        """Put a document in force if it is valid and newer.
 
-        `version` is what it was told to be, 0 where that is not known.  `offset` tells from where
-        to read on in the store, negative where that is not known.
+        Returns true if it was put in force or is being parsed. `version` is the number that the
+        sender announced, 0 if unknown. `offset` is the position from which to continue reading the
+        store, negative if unknown.
         """
         if self._is_known(document) or 0 < version <= self.version:
             return False
         offer = _Offer(document, source, version, offset, is_first_hand)
         if self._reading is not None:
-            return self._wait(offer)
+            return self._enqueue(offer)
         before = self.version
         self._read_offer(offer)
         return self._reading is not None or self.version > before
 
     def _is_known(self, document: bytes) -> bool:
-        """Whether a document needs no reading: it is in force, was rejected, or is being read."""
+        """Whether a document can be skipped: it is in force, was rejected, or is being parsed."""
         if self._newest is not None and document == self._newest.document:
             return True
         if self._reading is not None and document == self._reading.offer.document:
             return True
         return document == self._last_rejected
 
-    # --- what waits ---------------------------------------------------------------------------
+    # --- waiting offers -----------------------------------------------------------------------
 
-    def _wait(self, offer: _Offer) -> bool:
-        """Have an offer wait for the end of the reading, in the place of an older one.
+    def _enqueue(self, offer: _Offer) -> bool:
+        """Queue an offer until the current parse ends, replacing an older one.
 
-        Of offers with a told version the highest waits; of the others, which come from the store in
-        its order, the last.
+        Among offers with an announced version the highest is kept; among the others, which come
+        from the store in order, the last.
         """
-        is_told = offer.version > 0
-        known = self._waiting.get(is_told)
+        is_announced = offer.version > 0
+        known = self._waiting.get(is_announced)
         if known is not None:
             if known.document == offer.document or offer.version < known.version:
                 return False
@@ -218,25 +222,25 @@
             self._log.info(
                 "version_passed_over", version=known.version or None, source=known.source
             )
-        self._waiting[is_told] = offer
+        self._waiting[is_announced] = offer
         return True
 
     def _read_waiting(self) -> None:
-        """Read what has waited, as far as it is still newer."""
+        """Parse the waiting offers that are still newer."""
         while self._waiting and self._reading is None:
             offer = self._waiting.pop(min(self._waiting))
             if not (self._is_known(offer.document) or 0 < offer.version <= self.version):
                 self._read_offer(offer)
 
-    # --- reading ------------------------------------------------------------------------------
+    # --- parsing ------------------------------------------------------------------------------
 
     def _read_offer(self, offer: _Offer) -> None:
-        """Read an offer, and put it in force if it is newer; what is long is gone on with later."""
+        """Start to parse an offer; a newer one is put in force, maybe after further slices."""
         self._reading = _Reading(offer, self._slices_of(offer.document))
-        self._go_on()
+        self._continue_reading()
 
     def _slices_of(self, document: bytes) -> ConfigurationSlices:
-        """The slices of reading a document and making ready for it; it may be done in one."""
+        """Parse a document and prepare its configuration, in slices; one slice may suffice."""
         earlier = self._newest.configuration if self._newest is not None else None
         found = self._read(document, earlier)
         configuration = found if isinstance(found, Configuration) else (yield from found)
@@ -245,8 +249,8 @@
                 yield from prepare(configuration)
         return configuration
 
-    def _go_on(self) -> None:
-        """Read one slice."""
+    def _continue_reading(self) -> None:
+        """Run one slice, with its processor time accounted to versions."""
         account = self._timers.account
         before = account.switch(ProcessorPart.VERSIONS)
         try:
@@ -259,7 +263,7 @@
         if reading is None:
             return
         reading.count += 1
-        ends = self._timers.now() + _SLICE
+        ends = self._timers.now() + _SLICE_SECONDS
         try:
             while self._timers.now() <= ends:
                 next(reading.slices)
@@ -270,15 +274,16 @@
             self._end_reading(reading)
             self._reject(reading.offer.document, findings, reading.offer.source)
         except Exception as error:
-            # A fault of the reader comes with the document: it would end each daemon that reads it,
-            # one after the other and again at each start.  The version in force stays.
+            # An exception from the parser would recur with this document: it would end each daemon
+            # that reads it, one after the other, and again at each start. The version in force
+            # stays.
             self._end_reading(reading)
-            trace = "".join(traceback.format_exception(error)[-_TRACE_LINES:])
+            trace = "".join(traceback.format_exception(error)[-_MAX_TRACE_LINES:])
             self._log.error("configuration_not_read", trace=trace.replace("\n", " | "))
-            fault = _fault(Place(source=reading.offer.source), error)
+            fault = _unreadable_finding(Place(source=reading.offer.source), error)
             self._reject(reading.offer.document, FindingsError.of([fault]), reading.offer.source)
         else:
-            self._timers.call_at(self._timers.now(), self._go_on)
+            self._timers.call_at(self._timers.now(), self._continue_reading)
             return
         self._read_waiting()
 
@@ -287,7 +292,7 @@
         reading.done.set()
 
     def _take(self, reading: _Reading, configuration: Configuration) -> None:
-        """Put what was read in force if it is newer."""
+        """Put the parsed configuration in force if it is newer."""
         if configuration.version <= self.version:
             return
         self._invariants.expect(configuration.version > self.version, Invariant.NEVER_BACK)
@@ -300,7 +305,7 @@
     def _reject(self, document: bytes, findings: FindingsError, source: str) -> None:
         self._rejected += 1
         self._last_rejected = document
-        shown = [str(finding) for finding in findings.items[:_MOST_FINDINGS]]
+        shown = [str(finding) for finding in findings.items[:_MAX_LOGGED_FINDINGS]]
         self._log.warning(
             "configuration_rejected",
             source=source,
@@ -328,7 +333,7 @@
         self._changed.notify()
 
 
-def _fault(place: Place, error: Exception) -> Finding:
-    """The finding for a document that this program has a fault in reading."""
+def _unreadable_finding(place: Place, error: Exception) -> Finding:
+    """The finding for a document whose parser raised an unexpected exception."""
     message = f"cannot be read by this release: {type(error).__name__}: {error}"
     return Finding(place, message, "leave out what is new in it, and report the fault")
--- a/packages/hosted/tests/test_directory.py
+++ b/packages/hosted/tests/test_directory.py
@@ -117,7 +117,10 @@
             KeyedRecord(key, value if isinstance(value, bytes) else value.encode(), offset)
             for offset, (key, value) in enumerate(entries.items())
         ]
-        return {str(a) for a in self.directory._choose(self.directory._strangers(records))}
+        return {
+            str(a)
+            for a in self.directory._choose_contacts(self.directory._unknown_entries(records))
+        }
 
     def test_two_of_the_own_domain_and_one_of_another(self) -> None:
         entries = {f"h{n}": f"10.0.{n % 3}.9:{n} d{n % 3}" for n in range(1, 30)}
@@ -158,7 +161,7 @@
                     for record in records:
                         self.table.merge(MEMBER_CODEC.encode(record))
                     self.directory._members = KnownMembers(self.table)  # type: ignore[assignment]
-                    wanted += self.directory._is_wanted()
+                    wanted += self.directory._should_be_listed()
                 self.assertEqual(wanted, 20 - listed)
 
 
--- a/packages/hosted/tests/test_hosted_rollouts.py
+++ b/packages/hosted/tests/test_hosted_rollouts.py
@@ -78,7 +78,7 @@
             self.order()
             await self.timers.advance(2.0)
             self.assertEqual(self.phases(), [Phase.RUNNING])
-            self.rollouts._take_report(bad_report())
+            self.rollouts._on_report(bad_report())
             await self.timers.advance(0.6)
             self.assertEqual(self.phases(), [Phase.RUNNING, Phase.ROLLED_BACK])
             tasks.cancel_scope.cancel()
