--- a/packages/hosted/tests/keyed_standin.py
+++ b/packages/hosted/tests/keyed_standin.py
@@ -1,4 +1,4 @@
-"""A keyed log in memory, with the faults of a store that is far away."""
+"""An in-memory keyed log that simulates the faults of a remote store."""
 
 from __future__ import annotations
 
@@ -24,9 +24,9 @@
 
 
 class KeyedStandIn(KeyedLog):
-    """Keeps records; refuses everything while `is_down`, swallows reads while `is_silent`.
+    """Keeps records; rejects all requests while `is_down`, and loses reads while `is_silent`.
 
-    `rewind` brings back a copy of an earlier moment, in a new era; reads that wait then are cut.
+    `rewind` restores an earlier copy, in a new era, and interrupts pending reads.
     """
 
     def __init__(self, timers: TimerService) -> None:
@@ -37,7 +37,7 @@
         self.is_down = False
         self.is_silent = False
         self.calls = 0
-        #: Those for the newest records, among them.
+        #: Number of these calls that read the newest records.
         self.looks = 0
         self.era = 0
 
@@ -45,15 +45,15 @@
         return position_of(era=self.era, offset=offset)
 
     def _seen_now(self, record: KeyedRecord) -> KeyedRecord:
-        """A record with its position in the present era."""
+        """Return a record with its position in the present era."""
         return KeyedRecord(record.key, record.value, self._position(offset_of(record.offset)))
 
     def copy(self) -> dict[str, int]:
-        """A copy of now to `rewind` to: how many records each stream has."""
+        """Return a copy for `rewind`: the number of records of each stream."""
         return {stream: len(records) for stream, records in self._records.items()}
 
     def rewind(self, copy: dict[str, int]) -> list[tuple[str, KeyedRecord]]:
-        """Come back from a copy; returns the records that are lost."""
+        """Restore a copy; returns the lost records."""
         lost = [
             (stream, record)
             for stream, records in self._records.items()
@@ -67,11 +67,11 @@
         return lost
 
     def records(self, stream: str) -> tuple[KeyedRecord, ...]:
-        """All records of a stream."""
+        """Return all records of a stream."""
         return tuple(self._records.get(stream, []))
 
     def add(self, stream: str, key: str, value: bytes) -> int:
-        """Add a record, as an operator does."""
+        """Append a record, as an operator does."""
         records = self._records.setdefault(stream, [])
         records.append(KeyedRecord(key, value, self._position(len(records))))
         self._changed.set()
@@ -79,7 +79,7 @@
         return records[-1].offset
 
     def drop_history(self, stream: str) -> None:
-        """Forget all records; the newest of each key stay known."""
+        """Drop the history; the newest record of each key is kept."""
         self._first[stream] = len(self._records.get(stream, []))
 
     async def put(
--- a/packages/hosted/tests/plain_words.py
+++ b/packages/hosted/tests/plain_words.py
@@ -1,4 +1,4 @@
-"""Orders of rollouts and their status, spelled for tests."""
+"""A plain-text encoding of rollout orders and status for tests."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Words(RolloutWords):
-    """Spells orders as `service version seconds`, and a status as its phase and its order."""
+    """Encodes orders as `service version seconds`, and a status as phase, order and version."""
 
     status_stream = STATUS
 
--- a/packages/hosted/tests/test_delta.py
+++ b/packages/hosted/tests/test_delta.py
@@ -1,4 +1,4 @@
-"""Differences between documents."""
+"""Tests of deltas between documents."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 class DeltaTest(unittest.TestCase):
     @hypothesis.settings(max_examples=300, deadline=None, derandomize=True)
     @hypothesis.given(pieces, pieces)
-    def test_every_difference_leads_back(self, one: list[bytes], other: list[bytes]) -> None:
+    def test_delta_restores_the_later_document(self, one: list[bytes], other: list[bytes]) -> None:
         earlier, later = b"".join(one), b"".join(other)
         self.assertEqual(apply_delta(earlier, make_delta(earlier, later)), later)
 
@@ -38,7 +38,7 @@
         self.assertEqual(apply_delta(earlier, delta), later)
         self.assertLess(len(delta), 250)
 
-    def test_nonsense_is_refused(self) -> None:
+    def test_malformed_delta_is_rejected(self) -> None:
         earlier = document(10)
         for delta in (b"", b"x" * 40, make_delta(document(500), document(500, changed=3))):
             with self.subTest(delta[:10]), self.assertRaises(DeltaError):
--- a/packages/hosted/tests/test_directory.py
+++ b/packages/hosted/tests/test_directory.py
@@ -1,4 +1,4 @@
-"""What a start does when the hosts that are written down do not answer."""
+"""Tests of peer discovery, including hosts in the list that do not answer."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class Table:
-    """Knows this host alone."""
+    """A member table that holds only this host."""
 
     own = Own()
     present_count = 1
@@ -45,11 +45,11 @@
         return Neighbourhood((), ())
 
     def set_listed(self) -> None:
-        """Nobody is told."""
+        """Ignored."""
 
 
 class SilentMembers:
-    """All hosts that are written down have lost their power: whoever meets them waits."""
+    """Members whose listed hosts are without power, so that contacting them hangs."""
 
     table = Table()
 
@@ -78,20 +78,20 @@
             directory = HostDirectory(
                 store=store, members=members, timers=timers, seed=_Seed(), log=log  # type: ignore
             )
-            looked_at: list[float] = []
+            discovered_at: list[float] = []
 
-            async def wait_for_look() -> None:
+            async def wait_for_discovery() -> None:
                 await directory.first_look()
-                looked_at.append(timers.now())
+                discovered_at.append(timers.now())
 
             async with anyio.create_task_group() as tasks:
                 started = timers.now()
                 tasks.start_soon(directory.run)
-                tasks.start_soon(wait_for_look)
+                tasks.start_soon(wait_for_discovery)
                 await timers.advance(1.0)
                 tasks.cancel_scope.cancel()
             self.assertGreaterEqual(members.asked, 3)
-            self.assertLess(looked_at[0] - started, 0.15)
+            self.assertLess(discovered_at[0] - started, 0.15)
 
         anyio.run(run)
 
@@ -112,7 +112,7 @@
         )
 
     def met(self, **entries: str | bytes) -> set[str]:
-        """Hosts that a start meets where these entries are listed."""
+        """Return the addresses that a starting daemon contacts with these entries listed."""
         records = [
             KeyedRecord(key, value if isinstance(value, bytes) else value.encode(), offset)
             for offset, (key, value) in enumerate(entries.items())
@@ -131,7 +131,7 @@
     def test_others_where_the_own_domain_has_none(self) -> None:
         self.assertEqual(len(self.met(**{f"h{n}": f"10.0.0.9:{n} d2" for n in range(1, 9)})), 3)
 
-    def test_entries_of_other_writers_name_nobody_and_the_others_hold(self) -> None:
+    def test_invalid_entries_are_skipped_and_the_others_are_used(self) -> None:
         met = self.met(
             a="999.0.0.1:80 d1",
             b=b"\xff\xfe",
@@ -149,8 +149,8 @@
         self.met(own="10.0.0.1:1 d1")
         self.assertTrue(self.table.own.is_listed)
 
-    def test_the_next_in_line_are_wanted_where_too_few_are_listed(self) -> None:
-        """Of 80 daemons 20 are to be listed; each decides by itself, and they agree."""
+    def test_next_candidates_are_listed_if_too_few_are(self) -> None:
+        """Of 80 daemons 20 are to be listed; each decides independently, and all agree."""
         for listed in (0, 15, 20):
             with self.subTest(listed=listed):
                 wanted = 0
@@ -170,7 +170,7 @@
 
 
 class KnownMembers:
-    """A membership that knows what a test tells it."""
+    """A membership with a member table set by the test."""
 
     def __init__(self, table: MemberTable) -> None:
         self.table = table
@@ -180,7 +180,7 @@
 
 
 class _Seed:
-    """Picks all of them."""
+    """A random source that samples the whole population."""
 
     def sample(self, population: list[Address], _count: int) -> list[Address]:
         return population
--- a/packages/hosted/tests/test_eras.py
+++ b/packages/hosted/tests/test_eras.py
@@ -1,4 +1,4 @@
-"""A store that comes back from an older copy: what one daemon takes, and what a mesh has again."""
+"""Tests of a store restored from an older copy, with one daemon and with a mesh."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 
 class Held(KeyedLog):
-    """A store whose next answer comes only when it is let go."""
+    """A store whose next answer is held until the test releases it."""
 
     def __init__(self, store: KeyedStandIn) -> None:
         self._store = store
@@ -96,7 +96,7 @@
         assert isinstance(found, KeyedSlice)
         return found.next_offset
 
-    async def test_a_read_from_an_earlier_era_finds_nothing(self) -> None:
+    async def test_read_from_an_earlier_era_is_expired(self) -> None:
         end = await self.end()
         self.store.rewind({"s": 2})
         for number in range(5):
@@ -124,7 +124,7 @@
         self.assertIsInstance(await self.guard.put("s", "k", b"mine", at=end), Outrun)
         self.assertEqual(len(self.store.records("s")), 4)
 
-    async def test_a_write_that_the_change_overtook_is_not_confirmed(self) -> None:
+    async def test_write_during_an_era_change_is_not_confirmed(self) -> None:
         end = await self.end()
         self.held.gate, self.held.is_asked_late = gate, _ = anyio.Event(), True
         results: list[object] = []
@@ -159,14 +159,14 @@
         self.assertEqual((self.guard.era, self.guard.late_answers), (2, 1))
         self.assertEqual(await self.end(), now)
 
-    async def test_a_count_that_starts_anew_is_followed(self) -> None:
-        """Answers asked for after the later era was heard of are not late."""
+    async def test_restarted_era_count_is_adopted(self) -> None:
+        """Answers requested after the later era became known are not late."""
         self.store.era = 9
         await self.end()
         self.store.era = 1
         self.assertEqual(era_of(await self.end()), 1)
 
-    async def test_a_store_that_tells_no_era_is_passed_through(self) -> None:
+    async def test_store_without_eras_is_passed_through(self) -> None:
         self.store.era = 0
         end = await self.end()
         self.assertEqual(end, 4)
@@ -206,7 +206,7 @@
         self.run_mesh(body)
 
     def test_a_rewind_costs_a_look_for_each_reader_and_no_more(self) -> None:
-        """Six read the store, and as many stand in while reads are cut; the lead reads the list."""
+        """Six daemons read the store, as many take over meanwhile, and the lead reads the list."""
 
         async def body(mesh: VersionMesh) -> None:
             mesh.publish(1)
@@ -233,7 +233,7 @@
         self.run_mesh(body)
 
     def test_two_that_notice_at_different_moments_agree(self) -> None:
-        """A third of the hosts are not answered while the store comes back, the lead among them."""
+        """A third of the hosts, with the lead, get no answer while the store is restored."""
 
         async def body(mesh: VersionMesh) -> None:
             mesh.publish(1)
--- a/packages/hosted/tests/test_feeding.py
+++ b/packages/hosted/tests/test_feeding.py
@@ -1,4 +1,4 @@
-"""Which daemons read the store."""
+"""Tests of the selection of the daemons that read the store."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 
 
 class KnownMembers:
-    """A membership that knows what a test tells it."""
+    """A membership with a member table set by the test."""
 
     def __init__(self, table: MemberTable) -> None:
         self.table = table
-        self.hear: Callable[[str, int], None] = lambda host, position: None
+        self.report_position: Callable[[str, int], None] = lambda host, position: None
 
     def on_position(self, listener: Callable[[str, int], None]) -> None:
-        """Take the listener."""
-        self.hear = listener
+        """Store the listener."""
+        self.report_position = listener
 
     def flush(self) -> None:
-        """Nobody is told."""
+        """Ignored."""
 
 
 def member(host: str, *, domain: str = "d1", mbps: float = 10.0, **changes: object) -> Member:
@@ -34,7 +34,7 @@
 
 class FeedingTest(unittest.TestCase):
     def feeders(self, *members: Member) -> list[str]:
-        """The hosts that decide to read the store, each by itself."""
+        """Return the hosts that select themselves as feeders, each independently."""
         found = []
         for own in members:
             timers = ManualTimers()
@@ -45,7 +45,7 @@
             log = structlog.wrap_logger(structlog.testing.CapturingLogger())
             known = KnownMembers(table)
             feeding = Feeding(members=known, timers=timers, log=log)  # type: ignore[arg-type]
-            known.hear("somebody", 1)
+            known.report_position("somebody", 1)
             feeding.look()
             if feeding.is_feeder:
                 found.append(own.host)
@@ -59,14 +59,14 @@
         members = [member(f"h{n}", mbps=2.5) for n in range(10)]
         self.assertEqual(self.feeders(*members, member("wide", mbps=50)), ["wide"])
 
-    def test_next_in_line_where_the_store_turns_the_first_away(self) -> None:
+    def test_next_candidate_reads_if_the_store_does_not_serve_the_first(self) -> None:
         members = [member(f"h{n}") for n in range(5)]
         (first,) = self.feeders(*members)
         refused = [m.with_changes(is_fed=m.host != first) for m in members]
         self.assertEqual(len(self.feeders(*refused)), 2)
         self.assertIn(first, self.feeders(*refused))
 
-    def test_suspects_do_not_count(self) -> None:
+    def test_suspected_members_are_not_selected(self) -> None:
         members = [member(f"h{n}") for n in range(5)]
         (first,) = self.feeders(*members)
         state = int(MemberState.SUSPECT)
@@ -74,7 +74,7 @@
         others = [m for m in suspected if m.host != first]
         self.assertEqual(len(set(self.feeders(*suspected)) & {m.host for m in others}), 1)
 
-    def test_daemon_that_hears_of_nobody_reads_for_itself(self) -> None:
+    def test_isolated_daemon_reads_for_itself(self) -> None:
         own, other = member("a", mbps=1), member("b", mbps=50)
         timers = ManualTimers()
         table = MemberTable(own, timers)
--- a/packages/hosted/tests/test_hosted_rollouts.py
+++ b/packages/hosted/tests/test_hosted_rollouts.py
@@ -1,4 +1,4 @@
-"""The part of one daemon in rollouts: what it tells, reports and writes, and when."""
+"""Tests of what one daemon sends, reports and writes about rollouts, and when."""
 
 from __future__ import annotations
 
@@ -64,7 +64,7 @@
         )
 
     def phases(self) -> list[Phase]:
-        """What was written to the store."""
+        """Return the phases written to the store."""
         records = self.store.records(STATUS)
         return [Phase(int(record.value.split()[0])) for record in records]
 
@@ -102,7 +102,7 @@
 
 
 def bad_report() -> RolloutReport:
-    """Every second answer of the new version is a failure."""
+    """Return a report in which half of the answers of the new version are failures."""
     times = [0] * 16
     times[8] = 100
     rows = (
--- a/packages/hosted/tests/test_logs.py
+++ b/packages/hosted/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Log lines never hold the daemon up."""
+"""Tests that logging never blocks the daemon."""
 
 from __future__ import annotations
 
@@ -40,19 +40,19 @@
         self.assertEqual(len(self.read()), 200)
         self.assertEqual(self.lines.dropped, 800)
 
-    def test_warnings_pass_the_rate_and_tell_what_was_dropped(self) -> None:
+    def test_warnings_bypass_the_rate_limit_and_report_dropped_lines(self) -> None:
         for _ in range(300):
             self.lines.info("x")
         self.lines.warning("lost")
         self.assertEqual(self.read()[-1], "lost lines_dropped_before=100")
 
-    def test_reader_that_stands_still_stops_nothing(self) -> None:
+    def test_stalled_reader_blocks_nothing(self) -> None:
         for _ in range(20_000):
             self.lines.warning("y" * 100)
         self.assertGreater(self.lines.dropped, 10_000)
 
     def test_lines_beyond_the_rate_are_not_rendered(self) -> None:
-        """Rendering a line takes 45 us, and in a crowded second most are dropped."""
+        """Rendering a line takes 45 us, and under load most lines are dropped."""
 
         class Costly:
             rendered = 0
@@ -68,7 +68,7 @@
         self.assertEqual((len(self.read()), self.lines.dropped), (201, 800))
         self.assertLessEqual(Costly.rendered, 201)
 
-    def test_failed_call_is_told_with_what_decided_it(self) -> None:
+    def test_failed_call_is_logged_with_its_cause(self) -> None:
         log = CallLog(bounded_logger("near-1", self.lines))
         ended = CallEnded(
             request_id="7f3a",
@@ -87,7 +87,7 @@
         for part in ("request=7f3a", "version=12", "reason=full", "retry_after_s=0.2", "near-1"):
             self.assertIn(part, line)
 
-    def test_lines_say_true_and_false_and_leave_nothing_out(self) -> None:
+    def test_lines_render_booleans_and_omit_none(self) -> None:
         log = bounded_logger("near-1", self.lines)
         log.info("feeder", reads_store=False, alone=True, reason=None)
         (line,) = self.read()
--- a/packages/hosted/tests/test_version_mesh.py
+++ b/packages/hosted/tests/test_version_mesh.py
@@ -1,8 +1,8 @@
-"""Few calls to the store, and versions in force everywhere all the same.
+"""Tests that versions are in force everywhere in time at the cost of few calls to the store.
 
-The load is that of a mesh of six failure domains, whose store is priced by the call and goes
-silent, answers some hosts only, or is followed by daemons that start all at once.  Versions are to
-be in force everywhere within three seconds of their acknowledgement, or of the end of an outage.
+The load is that of a mesh of six failure domains, whose store is priced by the call and may be
+unresponsive or answer only some hosts, or whose daemons all start at once. Versions must be in
+force everywhere within three seconds of their acknowledgement, or of the end of an outage.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 import anyio
 from version_mesh import VersionMesh
 
-#: Seconds within which a version is to be in force everywhere.
+#: Seconds within which a version must be in force everywhere.
 BOUND = 3.0
 COUNT = 18
 DOMAINS = 6
@@ -38,7 +38,7 @@
         anyio.run(run)
 
     def test_a_quiet_minute_costs_one_call_a_second(self) -> None:
-        """Six readers that ask each 1.5 s make 240, reckoned."""
+        """Six readers that poll every 1.5 s would make an estimated 240 calls."""
 
         async def body(mesh: VersionMesh) -> None:
             mesh.publish(1)
@@ -50,7 +50,7 @@
         self.run_mesh(body)
 
     def test_a_start_of_all_costs_little_more_than_a_call_each(self) -> None:
-        """290 before: each wrote its entry, and asked for the first version on and on."""
+        """Guards against 290 calls, when each daemon wrote its entry and polled for a version."""
 
         async def body(mesh: VersionMesh) -> None:
             self.assertLess(mesh.store.calls, 175)
@@ -68,7 +68,7 @@
 
         self.run_mesh(body)
 
-    def test_a_storm_leaves_nobody_behind(self) -> None:
+    def test_rapid_versions_reach_all_daemons(self) -> None:
         async def body(mesh: VersionMesh) -> None:
             before = mesh.store.calls
             for version in range(1, 41):
@@ -94,7 +94,7 @@
         mesh.publish(2)
         self.assertLess(await mesh.in_force_within(2, BOUND), BOUND)
 
-    def test_a_lead_that_the_store_leaves_without_answer_holds_nobody_up(self) -> None:
+    def test_unanswered_lead_delays_no_other_daemon(self) -> None:
         async def body(mesh: VersionMesh) -> None:
             mesh.publish(1)
             await mesh.timers.advance(4.3)
--- a/packages/hosted/tests/test_versions.py
+++ b/packages/hosted/tests/test_versions.py
@@ -1,4 +1,4 @@
-"""Configurations that were accepted elsewhere: in force, followed, and never back."""
+"""Tests that accepted configurations are followed and put in force, and versions never go back."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 
 
 def read(document: bytes, _earlier: Configuration | None) -> Configuration:
-    """A document is its version, and nothing else."""
+    """Parse a document that consists of its version only."""
     if not document.isdigit():
         raise FindingsError.of([Finding(Place(source="test"), "is no number", "use digits")])
     return Configuration(int(document), MappingProxyType({}))
 
 
 class AlwaysFeeding:
-    """This daemon reads the store, whoever else is there."""
+    """A feeder selection that always selects this daemon."""
 
     is_feeder = True
     is_lead = True
@@ -37,7 +37,7 @@
         """Return at once."""
 
     def note_store(self, *, is_served: bool) -> None:
-        """Nobody else is told."""
+        """Ignored."""
 
 
 def versions_with(timers: TimerService) -> tuple[AcceptedVersions, list[int]]:
@@ -63,8 +63,8 @@
             self.assertFalse(versions.offer(b"nonsense", source="test"))
         self.assertEqual((seen, versions.rejected), ([3], 1))
 
-    def test_one_that_the_reader_has_a_fault_for_ends_no_daemon(self) -> None:
-        """It would come to each daemon, and again at each start."""
+    def test_parser_exception_does_not_end_the_daemon(self) -> None:
+        """The document would reach each daemon, and again at each start."""
 
         def faulty(document: bytes, earlier: Configuration | None) -> Configuration:
             if document == b"8":
@@ -79,12 +79,12 @@
 
 
 class PassingTimers(ManualTimers):
-    """A clock that work moves too."""
+    """A clock that also advances while work is done."""
 
     worked = 0.0
 
     def work(self, seconds: float) -> None:
-        """Let time pass without a turn for anybody."""
+        """Advance the clock without running other tasks."""
         self._now += seconds
         self.worked += seconds
 
@@ -95,13 +95,13 @@
         self._now = end + self.worked
 
 
-#: Seconds that one step of a reading takes, and steps of a document.
+#: Seconds that one step of parsing takes, and steps per document.
 STEP = 0.0009
 STEPS = 40
 
 
 class SlicedVersionsTest(unittest.TestCase):
-    """A long document is read in slices: the load is 1,600 new routes, with calls meanwhile."""
+    """A long document is parsed in slices: the load is 1,600 new routes, with calls in between."""
 
     def setUp(self) -> None:
         self.timers = PassingTimers()
@@ -130,7 +130,7 @@
     def play(self, body: Callable[[], Awaitable[None]]) -> None:
         anyio.run(body)
 
-    def test_calls_have_their_turn_within_five_milliseconds(self) -> None:
+    def test_other_tasks_run_within_five_milliseconds(self) -> None:
         async def body() -> None:
             turns = [self.timers.now()]
             self.assertTrue(self.offer(b"3"))
@@ -164,7 +164,7 @@
         self.play(body)
 
     def test_one_of_the_store_and_one_that_was_told_are_both_read(self) -> None:
-        """What the store sends tells no version before it is read, so neither may go unread."""
+        """A document of the store has no known version until parsed, so neither may be skipped."""
 
         async def body() -> None:
             self.offer(b"3", 3)
@@ -259,7 +259,7 @@
 
         self.run_follower(body)
 
-    def test_storm_is_read_in_batches(self) -> None:
+    def test_rapid_versions_are_read_in_batches(self) -> None:
         async def body(
             store: KeyedStandIn, versions: AcceptedVersions, timers: ManualTimers
         ) -> None:
@@ -273,7 +273,7 @@
 
         self.run_follower(body)
 
-    def test_dropped_history_is_read_over(self) -> None:
+    def test_newest_records_are_read_after_history_was_dropped(self) -> None:
         async def body(
             store: KeyedStandIn, versions: AcceptedVersions, timers: ManualTimers
         ) -> None:
@@ -314,7 +314,7 @@
         await timers.advance(silent)
         store.is_silent = False
         store.add(PLACE.stream, PLACE.key, b"9")
-        await timers.advance(3.0)  # for so long after an outage nothing is asked of a daemon
+        await timers.advance(3.0)  # a version may take this long after an outage
         self.assertEqual(versions.version, 9)
 
     def test_outage_is_survived(self) -> None:
--- a/packages/hosted/tests/version_mesh.py
+++ b/packages/hosted/tests/version_mesh.py
@@ -1,4 +1,4 @@
-"""Daemons that follow one store and hand versions on, on a network and a clock made for tests."""
+"""A mesh of daemons that follow one store, with a simulated network and a manual clock."""
 
 from __future__ import annotations
 
@@ -47,26 +47,26 @@
 
 PLACE = StoreKey("stream", "config")
 MESSAGES = {**MEMBERSHIP_MESSAGES, **RELAY_MESSAGES, **DIRECTORY_MESSAGES, **ROLLOUT_MESSAGES}
-#: Seconds for an answer of the store, and within which all hosts start.
+#: Latency of the store in seconds, and the period in seconds within which all hosts start.
 _LATENCY = 0.004
 _STARTS = 0.3
 
 
 def read(document: bytes, _earlier: Configuration | None) -> Configuration:
-    """A document is its version, and nothing else."""
+    """Parse a document that consists of its version only."""
     if not document.isdigit():
         raise FindingsError.of([Finding(Place(source="test"), "is no number", "use digits")])
     return Configuration(int(document), MappingProxyType({}))
 
 
-#: What the conductors of daemons without targets ask.
+#: Stands in for the picker of a daemon without targets.
 NO_TARGETS = SimpleNamespace(
     slots_by_version=lambda _service: Counter(), hosts_by_version=lambda _service: Counter()
 )
 
 
 class StoreAsSeen(KeyedLog):
-    """The store as one host sees it, which it may leave without any answer."""
+    """The store as seen by one host, which it may leave unanswered."""
 
     def __init__(self, store: KeyedStandIn, host: str, silent: set[str], timers: ManualTimers):
         self._store = store
@@ -91,7 +91,7 @@
     async def changes(
         self, stream: str, *, start: int, wait: float
     ) -> KeyedSlice | Expired | Unavailable:
-        """A read that was pending when the silence began is lost as well."""
+        """Poll the store; a read that was pending when the store fell silent is lost as well."""
         until = self._timers.now() + wait + 1.0
         await self._timers.sleep(_LATENCY)
         result: KeyedSlice | Expired | Unavailable = Unavailable("no answer")
@@ -114,14 +114,14 @@
 
 @define(eq=False)
 class Daemon:
-    """What one daemon knows."""
+    """The parts of one daemon."""
 
     members: Membership
     versions: AcceptedVersions
     feeding: Feeding
     book: RolloutBook
     port: FakePort
-    #: What runs of it; ended by `VersionMesh.kill`.
+    #: Scope of its tasks; cancelled by `VersionMesh.kill`.
     scope: anyio.CancelScope = field(factory=anyio.CancelScope)
 
 
@@ -148,7 +148,7 @@
             self.start(f"h{number}", f"d{number % domains}", f"10.{number % domains}.0.{number}")
 
     def kill(self, host: str) -> None:
-        """End a daemon without a word."""
+        """Kill a daemon without notice to the others."""
         daemon = self.daemons.pop(host)
         daemon.port.close()
         daemon.scope.cancel()
@@ -246,17 +246,17 @@
         self.daemons[host] = daemon
 
     def publish(self, version: int) -> None:
-        """An operator's version is acknowledged."""
+        """Publish an operator's version; the store has acknowledged it."""
         self.store.add(PLACE.stream, PLACE.key, b"%d" % version)
 
     @property
     def lead(self) -> str:
-        """The host that asks the store often."""
+        """The host of the lead daemon."""
         (lead,) = (host for host, daemon in self.daemons.items() if daemon.feeding.is_lead)
         return lead
 
     async def in_force_within(self, version: int, most: float) -> float:
-        """Seconds until a version is in force everywhere, `inf` if longer than `most`."""
+        """Return the seconds until a version is in force everywhere, `inf` if above `most`."""
         started = self.timers.now()
         while self.timers.now() - started <= most:
             if all(d.versions.version >= version for d in self.daemons.values()):
