--- a/packages/hosted/tests/test_hosted_rollouts.py
+++ b/packages/hosted/tests/test_hosted_rollouts.py
@@ -1,4 +1,4 @@
-"""The part of one daemon in rollouts: what it tells, reports and writes, and when."""
+"""Tests of what one daemon sends, reports and writes about rollouts, and when."""
 
 from __future__ import annotations
 
@@ -64,7 +64,7 @@
         )
 
     def phases(self) -> list[Phase]:
-        """What was written to the store."""
+        """Return the phases written to the store."""
         records = self.store.records(STATUS)
         return [Phase(int(record.value.split()[0])) for record in records]
 
@@ -78,7 +78,7 @@
             self.order()
             await self.timers.advance(2.0)
             self.assertEqual(self.phases(), [Phase.RUNNING])
-            self.rollouts._take_report(bad_report())
+            self.rollouts._on_report(bad_report())
             await self.timers.advance(0.6)
             self.assertEqual(self.phases(), [Phase.RUNNING, Phase.ROLLED_BACK])
             tasks.cancel_scope.cancel()
@@ -102,7 +102,7 @@
 
 
 def bad_report() -> RolloutReport:
-    """Every second answer of the new version is a failure."""
+    """Return a report in which half of the answers of the new version are failures."""
     times = [0] * 16
     times[8] = 100
     rows = (
