--- a/packages/settings/src/acaciayard_settings/__init__.py
+++ b/packages/settings/src/acaciayard_settings/__init__.py
@@ -1,4 +1,4 @@
-"""Settings of a host, read from TOML and checked as a whole."""
+"""Host settings, read from a TOML file and validated as a whole."""
 
 from ._settings import (
     DetectorSection,
--- a/packages/settings/src/acaciayard_settings/_settings.py
+++ b/packages/settings/src/acaciayard_settings/_settings.py
@@ -1,4 +1,6 @@
-"""The settings of one host.
+"""Settings of one host.
+
+An example of a settings file:
 
 [host]
 name = "novero-1"
@@ -54,86 +56,88 @@
 ]
 
 _T = TypeVar("_T")
-_PORT: Final = Number(0, 65535, whole=True)
-_HEADING: Final = re.compile(r"^\s*\[\s*([a-z_]+)\s*\]")
-_KEY: Final = re.compile(r"^\s*([A-Za-z_][A-Za-z0-9_-]*)\s*=")
+_PORT_NUMBER: Final = Number(0, 65535, whole=True)
+_SECTION_HEADER: Final = re.compile(r"^\s*\[\s*([a-z_]+)\s*\]")
+_KEY_ASSIGNMENT: Final = re.compile(r"^\s*([A-Za-z_][A-Za-z0-9_-]*)\s*=")
 
 
 @frozen
 class HostSection:
-    """`[host]`: who and where this host is."""
+    """`[host]`: identity and location of this host."""
 
-    #: Name, unique in the mesh.
+    #: Host name, unique in the mesh.
     name: str = checked(Text(longest=100, is_name=True))
-    #: Failure domain that it stands in.
+    #: Failure domain that the host belongs to.
     failure_domain: str = checked(Text(longest=100, is_name=True))
-    #: IP number on which all ports are opened and which other hosts use.
+    #: IP address that all ports are bound to and that other hosts connect to.
     address: str = checked(Text())
 
 
 @frozen
 class PortsSection:
-    """`[ports]`: port numbers; 0 has the kernel choose one."""
+    """`[ports]`: port numbers; with 0 the kernel assigns a free port."""
 
-    #: For daemons: control, TCP and UDP.
-    control: int = checked(_PORT, default=7400)
-    #: For daemons: calls.
-    calls: int = checked(_PORT, default=7401)
-    #: For callers.
-    entry: int = checked(_PORT, default=7402)
-    #: For operators and for the targets on this host.
-    api: int = checked(_PORT, default=7403)
+    #: Control traffic between daemons, over TCP and UDP.
+    control: int = checked(_PORT_NUMBER, default=7400)
+    #: Calls forwarded between daemons.
+    calls: int = checked(_PORT_NUMBER, default=7401)
+    #: Calls from clients.
+    entry: int = checked(_PORT_NUMBER, default=7402)
+    #: API for operators and for the targets on this host.
+    api: int = checked(_PORT_NUMBER, default=7403)
 
 
 @frozen
 class LogSection:
-    """`[log]`: the platform's log service."""
+    """`[log]`: connection to the platform's log service."""
 
-    #: Where it is.
+    #: Base URL of the log service.
     url: str = checked(Text())
 
 
 @frozen
 class MeshSection:
-    """`[mesh]`: the other daemons."""
+    """`[mesh]`: how to find the other daemons."""
 
-    #: Control ports of daemons to meet first, as `"ip:port"`; a few in every failure domain.
+    #: Control addresses of the daemons to contact first, as `"ip:port"`; list a few in every
+    #: failure domain.
     seeds: tuple[str, ...] = checked(Names(), default=())
 
 
 @frozen
 class DetectorSection:
-    """`[detector]`: how fast failed daemons are found."""
+    """`[detector]`: timing of the failure detector."""
 
-    #: Seconds between two probes.
+    #: Interval between probes, in seconds.
     period_s: float = checked(Number(0.02, 60), default=1.0)
-    #: Seconds for the answer to a direct probe.
+    #: Timeout of a direct probe, in seconds.
     direct_s: float = checked(Number(0.01, 60), default=0.3)
-    #: Seconds for the answer through others.
+    #: Timeout of an indirect probe, which other daemons relay, in seconds.
     indirect_s: float = checked(Number(0.01, 60), default=0.6)
-    #: Seconds for a suspect to refute.
+    #: Time that a suspected daemon has to refute the suspicion, in seconds.
     suspicion_s: float = checked(Number(0.05, 300), default=2.5)
 
 
 @frozen
 class SnapshotsSection:
-    """`[snapshots]`: when the state is written into the log again."""
+    """`[snapshots]`: when a snapshot of the state is appended to the log."""
 
-    #: After so many records since the latest one.
+    #: Number of records since the latest snapshot after which a new one is written.
     every_records: int = checked(Number(1, 1_000_000, whole=True), default=500)
-    #: After so many seconds; keep it well below the retention of the log.
+    #: Seconds after which a new snapshot is written; keep this well below the log's retention.
     every_s: float = checked(Number(0.1, 604_800), default=600.0)
-    #: Seconds between two looks.
+    #: Interval between checks whether a snapshot is due, in seconds.
     look_s: float = checked(Number(0.05, 600), default=2.0)
 
 
 @frozen
 class ShutdownSection:
-    """`[shutdown]`: how the daemon stops."""
+    """`[shutdown]`: timing of a graceful shutdown."""
 
-    #: Seconds for calls under way; what is left then is cut, and the log says so.
+    #: Seconds that calls in progress have to finish; the remaining ones are then aborted, and
+    #: the log records this.
     grace_s: float = checked(Number(0, 86_400), default=3600.0)
-    #: Seconds for the other daemons to notice before anything closes.
+    #: Seconds that the other daemons have to notice the shutdown before any socket is closed.
     notice_s: float = checked(Number(0, 60), default=0.5)
 
 
@@ -141,23 +145,23 @@
 class HostSettings:
     """All settings of one host."""
 
-    #: Who and where this host is.
+    #: Identity and location of this host.
     host: HostSection
-    #: The log service.
+    #: Connection to the log service.
     log: LogSection
-    #: Port numbers.
+    #: Port numbers of this host.
     ports: PortsSection = field(factory=PortsSection)
-    #: The other daemons.
+    #: How to find the other daemons.
     mesh: MeshSection = field(factory=MeshSection)
-    #: Finding failed daemons.
+    #: Timing of the failure detector.
     detector: DetectorSection = field(factory=DetectorSection)
-    #: Snapshots.
+    #: When snapshots are written.
     snapshots: SnapshotsSection = field(factory=SnapshotsSection)
-    #: Stopping.
+    #: Timing of a graceful shutdown.
     shutdown: ShutdownSection = field(factory=ShutdownSection)
 
 
-_SECTIONS: Final[dict[str, type]] = {
+_SECTION_TYPES: Final[dict[str, type]] = {
     "host": HostSection,
     "log": LogSection,
     "ports": PortsSection,
@@ -166,11 +170,11 @@
     "snapshots": SnapshotsSection,
     "shutdown": ShutdownSection,
 }
-_REQUIRED: Final = ("host", "log")
+_REQUIRED_SECTIONS: Final = ("host", "log")
 
 
 def load_settings(path: Path) -> HostSettings:
-    """Read a settings file; raises `FindingsError` with everything that is wrong with it."""
+    """Read a settings file; raises `FindingsError` with all errors found in it."""
     try:
         text = path.read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
@@ -182,72 +186,81 @@
 
 
 def parse_settings(text: str, *, source: str = "host.toml") -> HostSettings:
-    """Settings made of TOML text; raises `FindingsError`."""
+    """Parse settings from TOML text; raises `FindingsError` with all errors found."""
     try:
         document = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
         place = Place(source=source)
         raise FindingsError.of(
-            [Finding(place, f"is no TOML: {error}", "mend the syntax")]
+            [Finding(place, f"is not valid TOML: {error}", "fix the syntax")]
         ) from error
-    return _Reader(source, text).read(document)
+    return _SettingsParser(source, text).parse(document)
 
 
-class _Reader:
-    """Reads all sections and collects what is wrong with any of them."""
+class _SettingsParser:
+    """Parses all sections and collects the errors of every one of them."""
 
     def __init__(self, source: str, text: str) -> None:
         self._source = source
-        self._lines, self._keys = _locate(text)
+        self._section_lines, self._key_lines = _find_line_numbers(text)
         self._findings: list[Finding] = []
 
-    def read(self, document: Mapping[str, Any]) -> HostSettings:
+    def parse(self, document: Mapping[str, Any]) -> HostSettings:
         for name in document:
-            if name not in _SECTIONS:
-                remedy = f"sections are {', '.join(f'[{known}]' for known in _SECTIONS)}"
-                self._findings.append(Finding(self._place(name), "is not known", remedy))
-        sections = {name: self._section(name, cls, document) for name, cls in _SECTIONS.items()}
+            if name not in _SECTION_TYPES:
+                remedy = f"sections are {', '.join(f'[{known}]' for known in _SECTION_TYPES)}"
+                self._findings.append(
+                    Finding(self._section_place(name), "is not a known section", remedy)
+                )
+        sections = {
+            name: self._parse_section(name, cls, document) for name, cls in _SECTION_TYPES.items()
+        }
         if not self._findings:
             self._findings.extend(self._address_findings(sections))
         if self._findings:
             raise FindingsError.of(self._findings)
         return HostSettings(**sections)
 
-    def _place(self, section: str) -> Place:
-        return Place(source=self._source, line=self._lines.get(section, 0), path=section)
+    def _section_place(self, section: str) -> Place:
+        return Place(source=self._source, line=self._section_lines.get(section, 0), path=section)
 
-    def _section(self, name: str, cls: type, document: Mapping[str, Any]) -> Any:
+    def _parse_section(self, name: str, cls: type, document: Mapping[str, Any]) -> Any:
         values = document.get(name)
-        if values is None and name in _REQUIRED:
-            self._findings.append(Finding(self._place(name), "is missing", f"add [{name}]"))
+        if values is None and name in _REQUIRED_SECTIONS:
+            self._findings.append(Finding(self._section_place(name), "is missing", f"add [{name}]"))
             return None
         if values is not None and not isinstance(values, dict):
-            self._findings.append(Finding(self._place(name), "is no section", f"use [{name}]"))
+            self._findings.append(
+                Finding(self._section_place(name), "is not a section", f"use [{name}]")
+            )
             return None
         try:
             return decode_fields(
-                cls, values or {}, place=self._place(name), lines=self._keys.get(name, {})
+                cls,
+                values or {},
+                place=self._section_place(name),
+                lines=self._key_lines.get(name, {}),
             )
-        except FindingsError as findings:
-            self._findings.extend(findings.items)
+        except FindingsError as error:
+            self._findings.extend(error.items)
             return None
 
     def _address_findings(self, sections: Mapping[str, Any]) -> Iterator[Finding]:
-        place = self._place("host").at("address")
+        place = self._section_place("host").at("address")
         address = sections["host"].address
-        if not _is_ip(address):
-            yield Finding(place, f"{address!r} is no IP number", 'use one like "10.1.2.3"')
+        if not _is_ip_address(address):
+            yield Finding(place, f"{address!r} is not an IP address", 'use one like "10.1.2.3"')
         for seed in sections["mesh"].seeds:
             ip, _, port = seed.rpartition(":")
-            if not _is_ip(ip) or not port.isdigit() or int(port) > 65535:
+            if not _is_ip_address(ip) or not port.isdigit() or int(port) > 65535:
                 yield Finding(
-                    self._place("mesh").at("seeds"),
-                    f"{seed!r} is no address",
+                    self._section_place("mesh").at("seeds"),
+                    f"{seed!r} is not a socket address",
                     'use one like "10.1.2.3:7400"',
                 )
 
 
-def _is_ip(text: str) -> bool:
+def _is_ip_address(text: str) -> bool:
     try:
         ipaddress.ip_address(text)
     except ValueError:
@@ -255,15 +268,15 @@
     return True
 
 
-def _locate(text: str) -> tuple[dict[str, int], dict[str, dict[str, int]]]:
-    """Lines of sections, and lines of keys by section."""
+def _find_line_numbers(text: str) -> tuple[dict[str, int], dict[str, dict[str, int]]]:
+    """Return the line numbers of the section headers, and those of the keys by section."""
     lines: dict[str, int] = {}
     keys: dict[str, dict[str, int]] = {}
     section = ""
-    for number, line in enumerate(text.splitlines(), start=1):
-        if heading := _HEADING.match(line):
-            section = heading.group(1)
-            lines.setdefault(section, number)
-        elif key := _KEY.match(line):
-            keys.setdefault(section, {}).setdefault(key.group(1), number)
+    for line_number, line in enumerate(text.splitlines(), start=1):
+        if header := _SECTION_HEADER.match(line):
+            section = header.group(1)
+            lines.setdefault(section, line_number)
+        elif key := _KEY_ASSIGNMENT.match(line):
+            keys.setdefault(section, {}).setdefault(key.group(1), line_number)
     return lines, keys
