--- a/packages/start/src/acaciayard_start/__init__.py
+++ b/packages/start/src/acaciayard_start/__init__.py
@@ -1,8 +1,8 @@
-"""Starts a program of the product with less processor time.
+"""Reduces the CPU time that a program of the product needs to start.
 
-A host that restarts takes no calls until its daemon runs, and where all hosts restart at once each
-second of starting is a second without service.  Most of a start is imports, and what the imports
-spend beyond running the code of modules can be done when the program is built.
+A restarting host accepts no calls until its daemon runs, so when all hosts restart at once, each
+second of startup is a second of outage.  Imports take up most of the startup time, and all of their
+work except executing the module code can be done at build time.
 """
 
 from ._methods import PreparedMethods
--- a/packages/start/src/acaciayard_start/__main__.py
+++ b/packages/start/src/acaciayard_start/__main__.py
@@ -1,4 +1,4 @@
-"""`python3 -S -m acaciayard_start PACKAGE` runs the `main()` of a package; `--prepare` builds."""
+"""`python3 -S -m acaciayard_start PACKAGE` runs `PACKAGE.main()`; `--prepare` writes its cache."""
 
 from ._main import main
 
--- a/packages/start/src/acaciayard_start/_main.py
+++ b/packages/start/src/acaciayard_start/_main.py
@@ -1,4 +1,4 @@
-"""Runs the `main()` of a package, or prepares such starts."""
+"""Command line that runs the `main()` of a package or writes the cache for its startup."""
 
 from __future__ import annotations
 
@@ -13,37 +13,37 @@
 __all__ = ["main"]
 
 _USAGE: Final = "usage: python3 -m acaciayard_start [--prepare] PACKAGE"
-#: Exit status for arguments that are not understood.
-_INVALID: Final = 2
+#: Exit status for invalid command line arguments.
+_EXIT_INVALID_ARGUMENTS: Final = 2
 
 
-def _prepared_path(package: str) -> Path:
-    """Where that of a program is kept, beside this package."""
+def _cache_path(package: str) -> Path:
+    """Return the path of the cache file of `package`, which is stored inside this package."""
     return Path(__file__).with_name(f"{package}.prepared")
 
 
 def main() -> None:
-    """Start the program that the command line names, or with `--prepare` ready its next starts."""
+    """Run the program named on the command line, or with `--prepare` write its cache file."""
     arguments = sys.argv[1:]
-    prepares = arguments[:1] == ["--prepare"]
-    if len(arguments) != 1 + prepares:
+    is_prepare = arguments[:1] == ["--prepare"]
+    if len(arguments) != 1 + is_prepare:
         print(_USAGE, file=sys.stderr)
-        sys.exit(_INVALID)
+        sys.exit(_EXIT_INVALID_ARGUMENTS)
     package = arguments[-1]
-    path = _prepared_path(package)
-    if prepares:
+    path = _cache_path(package)
+    if is_prepare:
         path.unlink(missing_ok=True)
     prepared = load_prepared(path)
     missing = prepared.install()
     if missing:
-        # The program starts all the same; the logger that writes such lines is not loaded yet.
+        # The program starts nevertheless.  The logger is not loaded yet, hence `print`.
         print(f"level=warning event=methods_not_prepared libraries={','.join(missing)}", flush=True)
-    # What imports make stays for good; looking through it for garbage, over and over while it
-    # grows, took 8 in 100 of the processor time of a start.
+    # Objects created by imports live as long as the process; repeated garbage collection over
+    # them took 8 % of the CPU time of a start.
     gc.disable()
     program = importlib.import_module(package)
     gc.enable()
-    if prepares:
+    if is_prepare:
         save_prepared(path, prepared.methods)
         return
     program.main()
--- a/packages/start/src/acaciayard_start/_methods.py
+++ b/packages/start/src/acaciayard_start/_methods.py
@@ -1,4 +1,4 @@
-"""Methods that attrs and dataclasses write for classes, compiled when the program is built."""
+"""Precompiled code of the methods that attrs and dataclasses generate."""
 
 from __future__ import annotations
 
@@ -10,31 +10,31 @@
 
 try:
     from attr import _make
-except ImportError:  # another version may keep its methods elsewhere; see `PreparedMethods.install`
+except ImportError:  # other versions may lack this module; see `PreparedMethods.install`
     _make = ModuleType("attr._make")
 
 __all__ = ["PreparedMethods"]
 
-#: What compiles the methods of a class in attrs, and the names of its parameters.
-_ATTRS_COMPILE: Final = "_linecache_and_compile"
+#: Function of attrs that compiles the methods of a class, and the names of its parameters.
+_ATTRS_COMPILE_FUNCTION: Final = "_linecache_and_compile"
 _ATTRS_PARAMETERS: Final = ("script", "filename", "globs", "locals")
 
 
 class PreparedMethods:
-    """Compiled methods of data classes, by the source that was written for them.
+    """Code objects of data class methods, keyed by a hash of their generated source.
 
-    attrs writes the source of `__init__`, `__eq__` and others for each class at each start and has
-    it compiled, and dataclasses do the same: some 230 sources for a daemon on the operators'
-    platform, a quarter of the processor time of its imports.  A source that is not among the
-    prepared ones is compiled as always.
+    At each start, attrs and dataclasses generate and compile the source of `__init__`, `__eq__`
+    and other methods of each class: about 230 sources for a daemon on the operators' platform,
+    which takes a quarter of the CPU time of its imports.  A source without a precompiled code
+    object is compiled as usual.
 
     Example:
 
         methods = PreparedMethods({})
         methods.install()
-        import program              # compiles all
+        import program              # compiles every method
         PreparedMethods(methods.codes).install()
-        import program              # in another process: compiles nothing
+        import program              # in another process: compiles none
     """
 
     def __init__(self, codes: dict[bytes, CodeType]) -> None:
@@ -43,55 +43,60 @@
 
     @property
     def codes(self) -> dict[bytes, CodeType]:
-        """All methods, those compiled since the start included."""
+        """All code objects by key, including those compiled since the process started."""
         return self._codes
 
     @property
     def compiled(self) -> int:
-        """Sources that had to be compiled since the start."""
+        """Number of sources that had to be compiled since the process started."""
         return self._compiled
 
     def install(self) -> tuple[str, ...]:
-        """Have data classes use these methods from now on.
+        """Patch attrs and dataclasses to use these code objects from now on.
 
-        Both libraries are met at functions of their own that a further version may do without.
-        Returns the names of those whose methods are compiled as always, for that reason.
+        The patched functions are internal to both libraries, and another version may lack them.
+        Returns the names of the libraries that could not be patched for this reason; these compile
+        their methods as usual.
         """
-        missing = []
-        if _takes_attrs_parameters(getattr(_make, _ATTRS_COMPILE, None)):
-            setattr(_make, _ATTRS_COMPILE, self._define)
+        unpatched = []
+        if _has_attrs_parameters(getattr(_make, _ATTRS_COMPILE_FUNCTION, None)):
+            setattr(_make, _ATTRS_COMPILE_FUNCTION, self._execute_attrs_script)
         else:
-            missing.append("attrs")
-        if _does_dataclasses_call_exec():
-            dataclasses.exec = self._run  # type: ignore[attr-defined]
+            unpatched.append("attrs")
+        if _dataclasses_calls_exec():
+            dataclasses.exec = self._execute_dataclass_source  # type: ignore[attr-defined]
         else:
-            missing.append("dataclasses")
-        return tuple(missing)
+            unpatched.append("dataclasses")
+        return tuple(unpatched)
 
-    def _define(
+    def _execute_attrs_script(
         self,
         script: str,
         filename: str,
         globs: dict[str, Any] | None,
         locals: Mapping[str, object] | None = None,
     ) -> dict[str, Any]:
-        """Run `script` with the names of `globs` and `locals` in reach; returns what it defined.
+        """Execute `script` with `globs` and `locals` as its namespaces; returns its definitions.
 
-        Takes the place of the function of attrs, whose parameters have these names.  That one also
-        keeps each source for debuggers, which is 1.4 MB for a daemon.
+        Replaces the function of attrs, whose parameter names it has to use.  The original also
+        keeps each source for debuggers, which takes 1.4 MB in a daemon.
         """
         defined: dict[str, Any] = {} if locals is None else dict(locals)
-        eval(self._code(_without_salt(script), script, filename), globs, defined)
+        eval(self._compile_cached(_without_salt(script), script, filename), globs, defined)
         return defined
 
-    def _run(self, source: Any, *names: Any) -> None:
-        """Run `source` as `exec` does, whose place this takes."""
-        code = self._code(source, source, "<dataclass>") if isinstance(source, str) else source
+    def _execute_dataclass_source(self, source: Any, *names: Any) -> None:
+        """Execute `source` like the built-in `exec`, which this replaces in dataclasses."""
+        code = (
+            self._compile_cached(source, source, "<dataclass>")
+            if isinstance(source, str)
+            else source
+        )
         exec(code, *names)
 
-    def _code(self, told: str, source: str, filename: str) -> CodeType:
-        """The code of `source`, which `told` tells apart from all others."""
-        key = hashlib.blake2b(told.encode(), digest_size=16).digest()
+    def _compile_cached(self, key_source: str, source: str, filename: str) -> CodeType:
+        """Return the code object of `source`, cached under a hash of `key_source`."""
+        key = hashlib.blake2b(key_source.encode(), digest_size=16).digest()
         code = self._codes.get(key)
         if code is None:
             self._compiled += 1
@@ -100,31 +105,31 @@
 
 
 def _without_salt(source: str) -> str:
-    """The source without the number that attrs mixes into `__hash__`, drawn anew in each process.
+    """Remove the salt from generated source: attrs mixes a per-process number into `__hash__`.
 
-    The number only keeps hashes of different classes apart, so that of the process which compiled
-    the method serves as well.
+    The salt only makes the hashes of different classes differ, so the one from the process that
+    compiled the method can be reused.
     """
-    before, mark, after = source.partition("hash((")
-    if not mark:
+    prefix, marker, suffix = source.partition("hash((")
+    if not marker:
         return source
-    _number, _mark, rest = after.partition(",")
-    return before + rest
+    _salt, _comma, rest = suffix.partition(",")
+    return prefix + rest
 
 
-def _takes_attrs_parameters(function: object) -> bool:
-    """Whether a function is the one of attrs, as it is known here."""
+def _has_attrs_parameters(function: object) -> bool:
+    """Return whether `function` has the parameters expected of the attrs function."""
     if not isinstance(function, FunctionType):
         return False
     code = function.__code__
     return code.co_varnames[: code.co_argcount] == _ATTRS_PARAMETERS
 
 
-def _does_dataclasses_call_exec() -> bool:
-    """Whether the module runs what it writes by `exec`, looked up among its own names first."""
+def _dataclasses_calls_exec() -> bool:
+    """Return whether dataclasses runs generated source by `exec`, looked up in its globals."""
     functions: list[object] = []
-    for each in vars(dataclasses).values():
-        functions.extend(vars(each).values() if isinstance(each, type) else (each,))
+    for member in vars(dataclasses).values():
+        functions.extend(vars(member).values() if isinstance(member, type) else (member,))
     return any(
         "exec" in function.__code__.co_names
         for function in functions
--- a/packages/start/src/acaciayard_start/_modules.py
+++ b/packages/start/src/acaciayard_start/_modules.py
@@ -1,4 +1,4 @@
-"""Modules whose code is read from one file in place of one file each."""
+"""Importer that reads the code of all modules from a single file."""
 
 from __future__ import annotations
 
@@ -10,29 +10,30 @@
 
 from attrs import frozen
 
-__all__ = ["PreparedModules", "StoredModule", "code_of_loaded_modules"]
+__all__ = ["PreparedModules", "StoredModule", "collect_loaded_modules"]
 
 
 @frozen
 class StoredModule:
-    """Where in the file a module stands, and what an import needs to know of it."""
+    """Position of a module in the cache file, and the metadata that its import needs."""
 
-    #: Path of its source, for tracebacks.
+    #: Path of the source file, for tracebacks.
     path: str
-    #: Whether it is a package, whose folder may hold what is not prepared.
+    #: Whether the module is a package, whose directory may contain modules that are not stored.
     is_package: bool
-    #: Where its marshalled code starts, in bytes from the start of the file.
+    #: Offset of the marshalled code in bytes, from the start of the section with the module code
+    #: while writing and from the start of the file while reading.
     offset: int
-    #: Bytes of its marshalled code.
+    #: Length of the marshalled code in bytes.
     length: int
 
 
 class PreparedModules:
-    """Finds modules by name in what was stored when the program was built.
+    """Meta path finder and loader for modules that were stored when the program was built.
 
-    The usual way looks through each folder of the path for each module and opens a file: 2,400
-    system calls for the 255 modules of a daemon, where this takes one for each.  Modules that are
-    not stored, all that are not written in Python among them, are found in the usual way.
+    The default finder searches each directory of `sys.path` for each module and opens a file: 2,400
+    system calls for the 255 modules of a daemon, where this needs one per module.  Modules that
+    are not stored, such as extension modules, are left to the default finders.
     """
 
     def __init__(self, descriptor: int, stored: dict[str, StoredModule]) -> None:
@@ -40,14 +41,14 @@
         self._stored = stored
 
     def install(self) -> None:
-        """Have imports look here after the modules that the interpreter holds itself."""
-        built_in = [finder for finder in sys.meta_path if isinstance(finder, type)]
-        sys.meta_path.insert(min(2, len(built_in)), self)  # type: ignore[arg-type]
+        """Register this finder after those for built-in and frozen modules."""
+        class_finders = [finder for finder in sys.meta_path if isinstance(finder, type)]
+        sys.meta_path.insert(min(2, len(class_finders)), self)  # type: ignore[arg-type]
 
     def find_spec(
         self, name: str, _path: object = None, _target: ModuleType | None = None
     ) -> ModuleSpec | None:
-        """Where the module comes from; `None` for one that is not stored."""
+        """Return the spec of a stored module, or `None` if the module is not stored."""
         stored = self._stored.get(name)
         if stored is None:
             return None
@@ -58,24 +59,24 @@
         return spec
 
     def create_module(self, _spec: ModuleSpec) -> ModuleType | None:
-        """A module of the usual type."""
+        """Return `None`, which makes the import system create a module of the default type."""
         return None
 
     def exec_module(self, module: ModuleType) -> None:
-        """Run the code of the module."""
+        """Execute the stored code in the namespace of the module."""
         stored = self._stored[module.__name__]
         code = marshal.loads(os.pread(self._descriptor, stored.length, stored.offset))
         exec(code, module.__dict__)
 
 
-def code_of_loaded_modules() -> dict[str, tuple[ModuleSpec, CodeType]]:
-    """All modules of this process that come from source files, by name."""
-    found = {}
+def collect_loaded_modules() -> dict[str, tuple[ModuleSpec, CodeType]]:
+    """Return spec and code of all loaded modules that come from source files, by name."""
+    modules = {}
     for name, module in list(sys.modules.items()):
         spec = getattr(module, "__spec__", None)
         if spec is None or spec.name != name or not isinstance(spec.loader, SourceFileLoader):
             continue
         code = spec.loader.get_code(name)
         if code is not None:
-            found[name] = (spec, code)
-    return found
+            modules[name] = (spec, code)
+    return modules
--- a/packages/start/tests/test_start.py
+++ b/packages/start/tests/test_start.py
@@ -1,4 +1,4 @@
-"""A prepared start: the same program, with less looked for and compiled."""
+"""Tests of starting a program from its cache of precompiled modules and methods."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 
 import attr
 
-PACKAGES: Final = Path(__file__).resolve().parents[2]
+PACKAGES_DIRECTORY: Final = Path(__file__).resolve().parents[2]
 
-#: A program with classes of both libraries that write methods, and one that tells what was done.
+#: A program with attrs and dataclasses classes that reports its results and how it was loaded.
 PROGRAM: Final = """
 import dataclasses, json, sys
 import attrs
@@ -43,10 +43,10 @@
     spec = part.__spec__
     print(json.dumps({
         "points": [str(Point(1)), Point(1) == Point(1, 2), len({Point(1), Point(1, 2)})],
-        "apart": Point(1) != Other(1),
+        "unequal": Point(1) != Other(1),
         "size": str(Size(3)),
         "compiled": getattr(getattr(define, "__self__", None), "compiled", None),
-        "prepared": type(spec.loader).__name__,
+        "loader": type(spec.loader).__name__,
         "file": part.__file__,
         "package_path": list(sys.modules["sample"].__path__),
     }))
@@ -55,20 +55,20 @@
 
 class PreparedStartTest(unittest.TestCase):
     def setUp(self) -> None:
-        folder = tempfile.TemporaryDirectory()
-        self.addCleanup(folder.cleanup)
-        self.folder = Path(folder.name)
-        source = PACKAGES / "start" / "src" / "acaciayard_start"
-        own = self.folder / "acaciayard_start"
-        own.mkdir()
+        directory = tempfile.TemporaryDirectory()
+        self.addCleanup(directory.cleanup)
+        self.directory = Path(directory.name)
+        source = PACKAGES_DIRECTORY / "start" / "src" / "acaciayard_start"
+        package_copy = self.directory / "acaciayard_start"
+        package_copy.mkdir()
         for file in source.glob("*.py"):
-            (own / file.name).write_bytes(file.read_bytes())
-        (self.folder / "sample").mkdir()
-        (self.folder / "sample" / "__init__.py").write_text(PROGRAM)
-        (self.folder / "sample" / "part.py").write_text('"""Text."""\nVALUE = 1\n')
+            (package_copy / file.name).write_bytes(file.read_bytes())
+        (self.directory / "sample").mkdir()
+        (self.directory / "sample" / "__init__.py").write_text(PROGRAM)
+        (self.directory / "sample" / "part.py").write_text('"""Text."""\nVALUE = 1\n')
 
     def run_start(self, *arguments: str) -> subprocess.CompletedProcess[str]:
-        environment = {**os.environ, "PYTHONPATH": str(self.folder)}
+        environment = {**os.environ, "PYTHONPATH": str(self.directory)}
         environment.pop("PYTHONHASHSEED", None)
         return subprocess.run(
             [sys.executable, "-m", "acaciayard_start", *arguments],
@@ -78,108 +78,117 @@
             check=False,
         )
 
-    def told(self) -> dict[str, Any]:
-        done = self.run_start("sample")
-        self.assertEqual((done.returncode, done.stderr), (0, ""))
-        return dict(json.loads(done.stdout))
+    def run_and_report(self) -> dict[str, Any]:
+        result = self.run_start("sample")
+        self.assertEqual((result.returncode, result.stderr), (0, ""))
+        return dict(json.loads(result.stdout))
 
     def prepare(self) -> Path:
-        done = self.run_start("--prepare", "sample")
-        self.assertEqual((done.returncode, done.stderr), (0, ""))
-        return self.folder / "acaciayard_start" / "sample.prepared"
+        result = self.run_start("--prepare", "sample")
+        self.assertEqual((result.returncode, result.stderr), (0, ""))
+        return self.directory / "acaciayard_start" / "sample.prepared"
 
-    def test_a_program_that_was_not_prepared_starts(self) -> None:
-        told = self.told()
-        self.assertGreater(told["compiled"], 0)
-        self.assertEqual(told["prepared"], "SourceFileLoader")
+    def test_program_without_cache_starts(self) -> None:
+        report = self.run_and_report()
+        self.assertGreater(report["compiled"], 0)
+        self.assertEqual(report["loader"], "SourceFileLoader")
 
-    def test_a_prepared_program_compiles_nothing_and_is_the_same(self) -> None:
-        before = self.told()
+    def test_program_with_cache_compiles_nothing_and_behaves_the_same(self) -> None:
+        before = self.run_and_report()
         self.prepare()
-        told = self.told()
-        self.assertEqual(told["compiled"], 0)
-        self.assertEqual(told["prepared"], "PreparedModules")
-        for what in ("points", "apart", "size", "file", "package_path"):
-            self.assertEqual(told[what], before[what], what)
+        report = self.run_and_report()
+        self.assertEqual(report["compiled"], 0)
+        self.assertEqual(report["loader"], "PreparedModules")
+        for key in ("points", "unequal", "size", "file", "package_path"):
+            self.assertEqual(report[key], before[key], key)
 
-    def test_a_class_that_changed_is_compiled(self) -> None:
+    def test_changed_class_is_compiled_again(self) -> None:
         path = self.prepare()
-        kept = path.read_bytes()
-        source = self.folder / "sample" / "__init__.py"
+        old_cache = path.read_bytes()
+        source = self.directory / "sample" / "__init__.py"
         source.write_text(PROGRAM.replace("y: int = 2", "y: int = 2\n    z: int = 0"))
         self.prepare()
-        self.assertNotEqual(path.read_bytes(), kept)
-        self.assertIn("z=0", self.told()["points"][0])
+        self.assertNotEqual(path.read_bytes(), old_cache)
+        self.assertIn("z=0", self.run_and_report()["points"][0])
 
-    def test_a_file_that_cannot_be_used_is_passed_over(self) -> None:
+    def test_unusable_cache_file_is_ignored(self) -> None:
         path = self.prepare()
-        whole = path.read_bytes()
+        valid_cache = path.read_bytes()
         for name, data in (
             ("empty", b""),
-            ("cut short in the index", whole[:40]),
-            ("cut short in the code", whole[:-1]),
-            ("other bytes", b"\x00\x00\x00\x05hello"),
-            ("another release", whole[:40].replace(whole[9:13], b"\0\0\0\0") + whole[40:]),
+            ("truncated index", valid_cache[:40]),
+            ("truncated code", valid_cache[:-1]),
+            ("unrelated bytes", b"\x00\x00\x00\x05hello"),
+            (
+                "other interpreter version",
+                valid_cache[:40].replace(valid_cache[9:13], b"\0\0\0\0") + valid_cache[40:],
+            ),
         ):
             with self.subTest(name):
                 path.write_bytes(data)
-                self.assertGreater(self.told()["compiled"], 0)
+                self.assertGreater(self.run_and_report()["compiled"], 0)
 
     def replace_in_library(self, file: str, old: str, new: str) -> None:
-        """Have the program use a copy of a library in which something is called otherwise."""
+        """Make the program use a copy of a library in which `old` is replaced by `new`."""
         source = Path(file)
-        place = self.folder / source.name
+        copied_path = self.directory / source.name
         if source.is_dir():
-            shutil.copytree(source, place)
-            place = place / "_make.py"
+            shutil.copytree(source, copied_path)
+            copied_path = copied_path / "_make.py"
         else:
-            shutil.copy(source, place)
-        text = place.read_text()
+            shutil.copy(source, copied_path)
+        text = copied_path.read_text()
         self.assertIn(old, text)
-        place.write_text(text.replace(old, new))
-
-    def assert_starts_with_one_line(self, library: str) -> None:
-        usual = {"points": ["Point(x=1, y=2)", True, 1], "apart": True, "size": "Size(width=3)"}
-        for _ in ("not prepared", "prepared"):
-            done = self.run_start("sample")
-            self.assertEqual((done.returncode, done.stderr), (0, ""))
-            line, told = done.stdout.splitlines()
+        copied_path.write_text(text.replace(old, new))
+
+    def assert_starts_with_one_warning(self, library: str) -> None:
+        expected_report = {
+            "points": ["Point(x=1, y=2)", True, 1],
+            "unequal": True,
+            "size": "Size(width=3)",
+        }
+        for _ in ("without cache", "with cache"):
+            result = self.run_start("sample")
+            self.assertEqual((result.returncode, result.stderr), (0, ""))
+            line, report = result.stdout.splitlines()
             self.assertEqual(line, f"level=warning event=methods_not_prepared libraries={library}")
-            self.assertEqual({name: json.loads(told)[name] for name in usual}, usual)
+            self.assertEqual(
+                {name: json.loads(report)[name] for name in expected_report}, expected_report
+            )
             self.assertEqual(self.run_start("--prepare", "sample").returncode, 0)
 
-    def test_an_attrs_that_compiles_in_another_way_is_left_to_itself(self) -> None:
-        folder = str(Path(attr.__file__).parent)
-        self.replace_in_library(folder, "_linecache_and_compile", "_compile_otherwise")
-        self.assert_starts_with_one_line("attrs")
+    def test_attrs_without_the_compile_function_is_not_patched(self) -> None:
+        directory = str(Path(attr.__file__).parent)
+        self.replace_in_library(directory, "_linecache_and_compile", "_compile_otherwise")
+        self.assert_starts_with_one_warning("attrs")
 
-    def test_an_attrs_whose_function_takes_other_things_is_left_to_itself(self) -> None:
-        folder = str(Path(attr.__file__).parent)
+    def test_attrs_with_other_parameters_is_not_patched(self) -> None:
+        directory = str(Path(attr.__file__).parent)
         old = "def _linecache_and_compile(\n    script: str,\n    filename: str,"
         new = "def _linecache_and_compile(\n    script: str,\n    file: str,"
-        self.replace_in_library(folder, old, new)
-        place = self.folder / "attr" / "_make.py"
-        text = place.read_text()
-        at = text.index(new)
-        end = text.index("\ndef ", at + 1)
-        body = text[at:end].replace("filename", "file")
-        place.write_text(text[:at] + body + text[end:])
-        self.assert_starts_with_one_line("attrs")
-
-    def test_dataclasses_that_run_otherwise_are_left_to_themselves(self) -> None:
+        self.replace_in_library(directory, old, new)
+        copied_path = self.directory / "attr" / "_make.py"
+        text = copied_path.read_text()
+        function_start = text.index(new)
+        function_end = text.index("\ndef ", function_start + 1)
+        body = text[function_start:function_end].replace("filename", "file")
+        copied_path.write_text(text[:function_start] + body + text[function_end:])
+        self.assert_starts_with_one_warning("attrs")
+
+    def test_dataclasses_without_exec_call_are_not_patched(self) -> None:
         self.replace_in_library(dataclasses.__file__, "exec(", "builtins.__dict__['exec'](")
-        self.assert_starts_with_one_line("dataclasses")
+        self.assert_starts_with_one_warning("dataclasses")
 
-    def test_bad_arguments_are_told(self) -> None:
+    def test_invalid_arguments_print_the_usage(self) -> None:
         for arguments in ((), ("a", "b"), ("--prepare",)):
             with self.subTest(arguments):
-                done = self.run_start(*arguments)
-                self.assertEqual(done.returncode, 2)
-                self.assertIn("usage", done.stderr)
+                result = self.run_start(*arguments)
+                self.assertEqual(result.returncode, 2)
+                self.assertIn("usage", result.stderr)
 
 
-#: All libraries that a daemon on the operators' platform may load at its start; each one costs
-#: every start of every host its time and memory, so a further one has to be wanted here.
+#: All libraries that a daemon on the operators' platform may load at startup.  Each one costs time
+#: and memory at every start of every host, so a new one has to be added here deliberately.
 LIBRARIES: Final = frozenset(
     {
         "anyio",
@@ -193,8 +202,8 @@
         "typing_extensions",
     }
 )
-#: The same for packages of the product.
-PARTS: Final = frozenset(
+#: Packages of the product that such a daemon may load.
+PRODUCT_PACKAGES: Final = frozenset(
     {
         "acaciayard_admission",
         "acaciayard_callmodel",
@@ -213,29 +222,35 @@
         "acaciayard_wire",
     }
 )
-#: Modules beside the packages that libraries bring.
-EXTENSIONS: Final = frozenset({"cython_runtime", "pyhdrh"})
+#: Top-level extension modules that the libraries install beside their packages.
+EXTENSION_MODULES: Final = frozenset({"cython_runtime", "pyhdrh"})
 
 
 class ImportsTest(unittest.TestCase):
-    def test_a_daemon_of_the_platform_loads_what_it_uses(self) -> None:
-        done = subprocess.run(
+    def test_platform_daemon_loads_only_listed_packages(self) -> None:
+        result = subprocess.run(
             [sys.executable, "-c", "import acaciayard_platform, sys; print(*sys.modules)"],
             capture_output=True,
             text=True,
             check=True,
         )
-        bare = subprocess.run(
+        baseline = subprocess.run(
             [sys.executable, "-c", "import sys; print(*sys.modules)"],
             capture_output=True,
             text=True,
             check=True,
         )
-        added = {name.partition(".")[0] for name in done.stdout.split()}
-        added -= {name.partition(".")[0] for name in bare.stdout.split()}
-        added = {name for name in added if not name.startswith("_")}
-        unwanted = added - sys.stdlib_module_names - LIBRARIES - PARTS - EXTENSIONS
-        self.assertEqual(unwanted, set())
+        loaded_names = {name.partition(".")[0] for name in result.stdout.split()}
+        loaded_names -= {name.partition(".")[0] for name in baseline.stdout.split()}
+        loaded_names = {name for name in loaded_names if not name.startswith("_")}
+        unlisted = (
+            loaded_names
+            - sys.stdlib_module_names
+            - LIBRARIES
+            - PRODUCT_PACKAGES
+            - EXTENSION_MODULES
+        )
+        self.assertEqual(unlisted, set())
 
 
 if __name__ == "__main__":
