--- a/packages/handover/src/acaciayard_handover/__init__.py
+++ b/packages/handover/src/acaciayard_handover/__init__.py
@@ -1,4 +1,4 @@
-"""Calls on their way between daemons: messages, streams, and both ends of them."""
+"""Forwards calls between daemons: messages, stream pool, client and server."""
 
 from ._messages import (
     CLAIM_MESSAGES,
--- a/packages/handover/src/acaciayard_handover/_messages.py
+++ b/packages/handover/src/acaciayard_handover/_messages.py
@@ -1,4 +1,4 @@
-"""Messages between the call parts of daemons: one call at a time on each stream."""
+"""Messages that forward calls between daemons; each stream carries one call at a time."""
 
 from __future__ import annotations
 
@@ -34,62 +34,62 @@
     "Queued",
     "Refused",
     "ReleaseRequest",
-    "flatten",
-    "unflatten",
+    "flatten_headers",
+    "unflatten_headers",
 ]
 
-#: Bodies of idempotent calls up to so many bytes travel with the head.  Larger ones, and all calls
-#: that must not run twice, are held until the admission: a refusal then costs one small message and
-#: not the body, and a call that the other daemon never admitted has certainly not run and may be
-#: offered to another.  The wait costs one round trip, about 3 ms between failure domains.
+#: Largest body of an idempotent call that is sent with the head.  Larger bodies, and the bodies of
+#: all calls that must not run twice, are held until the call is admitted: a refusal then costs one
+#: small message instead of the body, and a call that was never admitted has certainly not run and
+#: can be sent to another daemon.  Waiting costs one round trip, about 3 ms between failure domains.
 LARGEST_INLINE_BODY: Final = 16 * 1024
 
 
 def _check_paired(texts: list[bytes]) -> None:
-    """Raise `ValueError` for a name without a value."""
+    """Raise `ValueError` if a name has no value."""
     if len(texts) % 2:
         raise ValueError("trailers has a name without a value")
 
 
 @define
 class CallHead:
-    """A call, with its body where that is small."""
+    """Head of a call, including the body if it is small."""
 
-    #: Service that is to answer.
+    #: Service that is called.
     service: str
     #: HTTP method.
     method: bytes
-    #: Path and query.
+    #: Request target: path and query.
     target: bytes
     #: Rendered header fields.
     fields: bytes
     #: The body, if whole.
     body: bytes
-    #: Whether `body` is all there is.
+    #: Whether `body` is the complete body.
     is_whole: bool
-    #: Bytes of the body, -1 if unknown.
+    #: Length of the body in bytes, -1 if unknown.
     length: int
     #: Priority class.
     priority: int
-    #: Seconds left for the call; a duration, since clocks of two hosts do not agree.
+    #: Seconds until the deadline; a duration, since the clocks of two hosts may differ.
     budget: float
-    #: Identity of the request that targets repeat, empty where there is none.
+    #: Identity of the request, which targets repeat in their responses; empty if none.
     request_id: bytes = b""
-    #: Seconds for which a slot is worth waiting for, `inf` for as long as it takes.
+    #: Longest wait for a slot in seconds, `inf` for no limit.
     start_within: float = math.inf
-    #: Whether running the call twice does no harm.
+    #: Whether the call may safely run twice.
     is_idempotent: bool = False
-    #: Whether a target may have run the call before.
+    #: Whether a target may already have run the call.
     is_repeat: bool = False
-    #: Whether the whole body follows after the admission, and the call runs only then.
+    #: Whether the call runs only after its whole body, which is sent on admission, has arrived.
     is_held: bool = False
-    #: What the daemon that asks holds against the call: its fingerprint, and the number and the
-    #: ends of the suspicion; empty for nothing.
+    #: Suspicion of the calling daemon that the request crashes targets: its fingerprint, and its
+    #: `sequence` and `ends`; empty if there is none.
     fingerprint: bytes = b""
     suspicion: list[int] = field(factory=list)
-    #: Workspace that it is made for, empty for none.
+    #: Workspace on whose behalf the call is made, empty if none.
     workspace: str = ""
-    #: Calls that wait for its answer before a caller gets one.
+    #: Number of parent calls that wait for the answer, 0 if the call is not nested.
     depth: int = 0
 
     def check_fields(self) -> None:
@@ -104,7 +104,7 @@
             self._check_suspicion()
 
     def _check_suspicion(self) -> None:
-        """Raise `ValueError` unless number and ends of a suspicion come with a fingerprint."""
+        """Raise `ValueError` unless suspicion and fingerprint are both present and valid."""
         is_whole = len(self.suspicion) == 2 and min(self.suspicion) >= 0
         if not is_whole or len(self.fingerprint) != FINGERPRINT_BYTES:
             raise ValueError(f"suspicion {self.suspicion} for {len(self.fingerprint)} bytes")
@@ -112,14 +112,14 @@
 
 @frozen
 class Admitted:
-    """The call has a slot, or will get one once its body is here; the body may be sent now."""
+    """The call has a slot, or gets one once its body has arrived; the body may be sent now."""
 
 
 @frozen
 class Ask:
-    """So many bytes more of a large body may be sent now."""
+    """Requests the next bytes of a large body."""
 
-    #: The bytes.
+    #: Number of bytes that may be sent now.
     size: int = field(validator=gt(0))
 
 
@@ -130,17 +130,17 @@
 
 @frozen
 class Part:
-    """Some bytes of a body, in either direction."""
+    """Chunk of a request or response body."""
 
-    #: The bytes.
+    #: Content of the chunk.
     data: bytes
 
 
 @frozen
 class Finish:
-    """A body is whole, in either direction."""
+    """End of a request or response body."""
 
-    #: Names and values of trailers in turn.
+    #: Alternating names and values of the trailers.
     trailers: list[bytes]
 
     def check_fields(self) -> None:
@@ -150,7 +150,7 @@
 
 @define
 class AnswerHead:
-    """A target's answer, with its body where that is small."""
+    """Head of a target's answer, including the body if it is small."""
 
     #: HTTP status.
     status: int
@@ -158,19 +158,19 @@
     fields: bytes
     #: The body, if whole.
     body: bytes
-    #: Whether `body` is all there is.
+    #: Whether `body` is the complete body.
     is_whole: bool
-    #: Bytes of the body, -1 if unknown.
+    #: Length of the body in bytes, -1 if unknown.
     length: int
-    #: Whether the target ends its body by closing.
+    #: Whether the target ends the body by closing the connection.
     ends_by_close: bool
-    #: Names and values of trailers in turn, where the body is whole.
+    #: Alternating names and values of the trailers, if the body is complete.
     trailers: list[bytes]
     #: Calls running and waiting at the target, per slot.
     load: float
-    #: Mean seconds that a call takes at the target.
+    #: Mean duration of calls at the target in seconds.
     mean_seconds: float = 0.0
-    #: Whether it failed for a call that the target made and that was not served.
+    #: Whether the call failed because a nested call of the target was not served.
     lacks_inner: bool = False
 
     def check_fields(self) -> None:
@@ -183,33 +183,33 @@
 
 @frozen
 class Refused:
-    """The call has not run."""
+    """The call was refused and has not run."""
 
-    #: Why.
+    #: Reason for the refusal.
     reason: str
-    #: Seconds after which another try makes sense.
+    #: Seconds to wait before a retry.
     retry_after: float
-    #: Whether there was too much work.
+    #: Whether the call was refused because of overload.
     is_overload: bool
     #: Calls running and waiting at the target, per slot.
     load: float
     #: Whether the target itself refused.
     is_by_target: bool = False
-    #: Mean seconds that a call takes at the target, 0 for nothing told.  Where targets turn slow
-    #: they answer seldom and refuse often: late calls fell from 58 to 52 in 1,000 (eight seeds)
-    #: when refusals told it as well.
+    #: Mean duration of calls at the target in seconds, 0 if unknown.  Targets that become slow
+    #: answer rarely and refuse often: reporting it in refusals too reduced late calls from 58 to
+    #: 52 in 1,000 (eight seeds).
     mean_seconds: float = 0.0
-    #: Whether the call itself is refused, so that every host would refuse it.
+    #: Whether the refusal concerns the call itself, so that every host would refuse it.
     is_barred: bool = False
 
 
 @frozen
 class Lost:
-    """The call was sent to the target, and no whole answer came."""
+    """The call was sent to the target, but no complete answer was received."""
 
-    #: What happened.
+    #: Description of the failure.
     reason: str
-    #: Whether the target ended, and perhaps under this call.
+    #: Whether the target terminated, possibly because of this call.
     is_blamed: bool = False
 
 
@@ -228,40 +228,40 @@
 )
 
 
-#: The signs that a call has come, as they travel; they carry nothing else.
+#: Encoded acknowledgements of a call; these messages have no fields.
 ADMITTED: Final = CALL_CODEC.encode(Admitted())
 QUEUED: Final = CALL_CODEC.encode(Queued())
 
 
 @frozen
 class ClaimRequest:
-    """Claim an idempotency key for one call."""
+    """Claims an idempotency key for one call."""
 
     #: Digest of the key with its scope.
     key: bytes
     #: Identity of the claim.
     claim: bytes
-    #: Host that asks and would make the call.
+    #: Host that requests the claim and would make the call.
     host: str
 
 
 @frozen
 class ClaimAnswer:
-    """What became of a claim."""
+    """Result of a claim."""
 
     #: Whether the caller of this claim may make the call.
     granted: bool
-    #: The claim that holds the key, if granted or taken; empty when the log did not answer.
+    #: Claim that holds the key, this one or another; empty if the log did not answer.
     holder: bytes
-    #: Host of that claim.
+    #: Host of the claim that holds the key.
     host: str
-    #: Why the log did not answer.
+    #: Reason why the log did not answer.
     reason: str
 
 
 @frozen
 class ReleaseRequest:
-    """The call of a claim has certainly not run and never will; free the key."""
+    """Releases the key of a claim whose call has certainly not run and never will."""
 
     #: Digest of the key with its scope.
     key: bytes
@@ -271,19 +271,19 @@
 
 @frozen
 class OutcomeRequest:
-    """What did the call of this claim end with?"""
+    """Requests the outcome of the call of a claim."""
 
     #: Identity of the claim.
     claim: bytes
-    #: Seconds that the asker will wait.
+    #: Longest wait of the requester in seconds.
     within: float
 
 
 @frozen
 class OutcomeAnswer:
-    """The kept answer of a call."""
+    """Stored answer of a call."""
 
-    #: Whether there is one.
+    #: Whether an answer is stored.
     is_known: bool
     #: HTTP status.
     status: int
@@ -304,12 +304,12 @@
 }
 
 
-def flatten(headers: Headers) -> list[bytes]:
-    """Header fields as names and values in turn."""
+def flatten_headers(headers: Headers) -> list[bytes]:
+    """Return header fields as alternating names and values."""
     return [text for field in headers for text in field]
 
 
-def unflatten(texts: Iterable[bytes]) -> Headers:
-    """Header fields made of names and values in turn."""
-    each = iter(texts)
-    return tuple(zip(each, each, strict=True))
+def unflatten_headers(texts: Iterable[bytes]) -> Headers:
+    """Return header fields from alternating names and values."""
+    items = iter(texts)
+    return tuple(zip(items, items, strict=True))
--- a/packages/handover/src/acaciayard_handover/_pool.py
+++ b/packages/handover/src/acaciayard_handover/_pool.py
@@ -1,4 +1,4 @@
-"""Idle streams to other daemons, kept for their next use."""
+"""Pool of idle streams to other daemons."""
 
 from __future__ import annotations
 
@@ -12,23 +12,23 @@
 
 __all__ = ["StreamPool", "call_pool"]
 
-#: Idle streams kept to one daemon.
-_IDLE_PER_HOST: Final = 8
+#: Largest number of idle streams per daemon.
+_MAX_IDLE_PER_HOST: Final = 8
 #: Seconds after which an idle stream is closed.
-_IDLE_FOR: Final = 30.0
-#: Seconds for opening a stream to another daemon.
-_CONNECT_WITHIN: Final = 1.0
+_IDLE_TIMEOUT_SECONDS: Final = 30.0
+#: Timeout for opening a stream to another daemon.
+_CONNECT_TIMEOUT_SECONDS: Final = 1.0
 
 
 class StreamPool:
-    """Streams that carry one conversation at a time each."""
+    """Reuses streams; each is used for one exchange at a time."""
 
     def __init__(
         self,
         opener: Callable[[Address], Awaitable[MessageStream]],
         *,
         timers: TimerService,
-        connect_within: float = _CONNECT_WITHIN,
+        connect_within: float = _CONNECT_TIMEOUT_SECONDS,
     ) -> None:
         self._connect_within = connect_within
         self._opener = opener
@@ -38,11 +38,11 @@
 
     @property
     def opened(self) -> int:
-        """Streams that were opened so far, or tried to."""
+        """Number of attempts to open a stream, successful or not."""
         return self._opened
 
     def take_idle(self, address: Address) -> MessageStream | None:
-        """An idle stream, `None` where there is none."""
+        """Take an idle stream from the pool, `None` if there is none."""
         idle = self._idle.get(address, [])
         while idle:
             _, stream = idle.pop()
@@ -52,34 +52,34 @@
         return None
 
     async def take(self, address: Address) -> MessageStream:
-        """An idle stream or a new one; raises `StreamLostError`."""
+        """Take an idle stream or open a new one; raises `StreamLostError`."""
         return self.take_idle(address) or await self.open(address)
 
     async def open(self, address: Address) -> MessageStream:
-        """A new stream; raises `StreamLostError`."""
+        """Open a new stream; raises `StreamLostError`."""
         self._opened += 1
         with self._timers.timeout(self._connect_within):
             return await self._opener(address)
         raise StreamLostError(f"{address} did not answer in {self._connect_within:g} s")
 
     def give_back(self, address: Address, stream: MessageStream) -> None:
-        """Keep a stream whose last conversation has ended."""
+        """Return a stream to the pool after its exchange has ended."""
         idle = self._idle.setdefault(address, [])
-        if stream.channel.is_lost or len(idle) >= _IDLE_PER_HOST:
+        if stream.channel.is_lost or len(idle) >= _MAX_IDLE_PER_HOST:
             stream.close()
         else:
             idle.append((self._timers.now(), stream))
 
     async def run(self) -> None:
-        """Close streams that have been idle for long, for ever."""
-        async for _ in self._timers.ticks(_IDLE_FOR / 3):
-            self._close_idle(self._timers.now() - _IDLE_FOR)
+        """Close streams that exceed the idle timeout; runs until cancelled."""
+        async for _ in self._timers.ticks(_IDLE_TIMEOUT_SECONDS / 3):
+            self._close_idle(self._timers.now() - _IDLE_TIMEOUT_SECONDS)
 
-    def _close_idle(self, horizon: float) -> None:
+    def _close_idle(self, cutoff: float) -> None:
         for address in list(self._idle):
             kept = []
             for since, stream in self._idle[address]:
-                if since < horizon or stream.channel.is_lost:
+                if since < cutoff or stream.channel.is_lost:
                     stream.close()
                 else:
                     kept.append((since, stream))
@@ -90,9 +90,9 @@
 
 
 def call_pool(
-    *, traffic: Traffic, timers: TimerService, connect_within: float = _CONNECT_WITHIN
+    *, traffic: Traffic, timers: TimerService, connect_within: float = _CONNECT_TIMEOUT_SECONDS
 ) -> StreamPool:
-    """The pool of streams that carry calls; `connect_within` is in seconds."""
+    """Return a pool of streams for calls; `connect_within` is in seconds."""
 
     async def open_stream(address: Address) -> MessageStream:
         stream = await connect(address.ip, address.port, traffic=traffic, purpose=Purpose.CALLS)
--- a/packages/handover/src/acaciayard_handover/_remote.py
+++ b/packages/handover/src/acaciayard_handover/_remote.py
@@ -1,4 +1,4 @@
-"""An attempt at a target on another host, through the daemon beside it."""
+"""Calls a target on another host through the daemon of that host."""
 
 from __future__ import annotations
 
@@ -27,22 +27,22 @@
     Part,
     Queued,
     Refused,
-    flatten,
-    unflatten,
+    flatten_headers,
+    unflatten_headers,
 )
 from ._pool import StreamPool
 
 __all__ = ["RemoteExchange"]
 
-#: Time kept back for the other daemon's last word, in seconds and as a share at most.
-_ANSWER_MARGIN: Final = 0.05
-_ANSWER_SHARE: Final = 0.05
-#: Seconds after which a caller may try again when a daemon is not there.
-_ABSENT_RETRY_AFTER: Final = 1.0
+#: Upper limits, in seconds and as a share, of the time reserved for the other daemon's answer.
+_MAX_ANSWER_MARGIN_SECONDS: Final = 0.05
+_MAX_ANSWER_MARGIN_SHARE: Final = 0.05
+#: Seconds after which a caller may retry if a daemon is unreachable.
+_UNREACHABLE_RETRY_SECONDS: Final = 1.0
 
 
 class RemoteExchange(Exchange):
-    """A call handed to the daemon beside the target."""
+    """Exchange with a target through the daemon on its host."""
 
     def __init__(
         self, call: Call, *, address: Address, pool: StreamPool, timers: TimerService
@@ -52,21 +52,21 @@
         self._pool = pool
         self._timers = timers
         self._stream: MessageStream | None = None
-        self._early: object | None = None
+        self._pending_message: object | None = None
         is_small = len(call.body) <= LARGEST_INLINE_BODY
         self._is_held = call.is_whole and not (call.is_idempotent and is_small)
         self._body_sent = call.is_whole and not self._is_held
         self._is_acknowledged = False
         self._on_acknowledged: Callable[[], None] | None = None
-        self._opening: anyio.CancelScope | None = None
+        self._open_scope: anyio.CancelScope | None = None
         self._load = -1.0
         self._mean_seconds = 0.0
         self._is_aborted = False
-        self._sent = False
+        self._was_sent = False
 
     @property
     def was_sent(self) -> bool:
-        return self._sent
+        return self._was_sent
 
     @property
     def is_acknowledged(self) -> bool:
@@ -77,26 +77,26 @@
 
     @property
     def is_committed(self) -> bool:
-        return self._sent and not self._is_held
+        return self._was_sent and not self._is_held
 
     @property
     def load(self) -> float:
-        """Load of the target as told with the answer, -1 before."""
+        """Load of the target as reported with the answer, -1 before."""
         return self._load
 
     @property
     def mean_seconds(self) -> float:
-        """Mean seconds that a call takes at the target as told with the answer, 0 before."""
+        """Mean call duration reported by the target in seconds, 0 before the answer."""
         return self._mean_seconds
 
     async def start(self) -> NotRun | None:
-        """Open a stream and send the head; the refusal where no stream could be opened."""
+        """Open a stream and send the head; return a refusal if no stream can be opened."""
         refusal = await self._open()
         if refusal is not None or self._stream is None:
             return refusal
         call = self._call
         is_whole = call.is_whole and not self._is_held
-        held = call.suspicion
+        suspicion = call.suspicion
         head = CallHead(
             service=call.service,
             method=call.method,
@@ -106,67 +106,67 @@
             is_whole=is_whole,
             length=call.length,
             priority=call.priority,
-            budget=_budget(call.deadline - self._timers.now()),
+            budget=_remote_budget(call.deadline - self._timers.now()),
             request_id=call.request_id,
             start_within=call.start_by - self._timers.now(),
             is_idempotent=call.is_idempotent,
             is_repeat=call.is_repeat,
             is_held=self._is_held,
-            fingerprint=held.fingerprint if held is not None else b"",
-            suspicion=[held.sequence, held.ends] if held is not None else [],
+            fingerprint=suspicion.fingerprint if suspicion is not None else b"",
+            suspicion=[suspicion.sequence, suspicion.ends] if suspicion is not None else [],
             workspace=call.workspace,
             depth=call.depth,
         )
-        self._sent = True
-        self._stream.channel.watch_data(self._take_sign)
-        with contextlib.suppress(StreamLostError):  # the answer will not come: that says it
+        self._was_sent = True
+        self._stream.channel.watch_data(self._consume_acknowledgement)
+        with contextlib.suppress(StreamLostError):  # `answer` reports the loss
             self._stream.channel.send_nowait(CALL_CODEC.encode(head))
         return None
 
-    def _take_sign(self, data: bytes) -> bool:
-        """Note the first bytes that come from the daemon; true for a mere sign that it has a call.
+    def _consume_acknowledgement(self, data: bytes) -> bool:
+        """Record the first data from the daemon; return true to consume a bare acknowledgement.
 
-        Nobody waits for such a sign of a call that may run without another word from here, so it
-        wakes no task: a wake-up is a large part of what a call costs.
+        If the body has already been sent, no task waits for the acknowledgement, so it is consumed
+        without waking one: a wake-up is a large part of the cost of a call.
         """
         if not self._is_acknowledged:
             self._is_acknowledged = True
             if self._on_acknowledged is not None:
                 self._on_acknowledged()
-        is_sign = self._body_sent and data in (ADMITTED, QUEUED)
-        if self._stream is not None and not (is_sign and data == QUEUED):
-            # What comes next may be any part of an answer, whatever it looks like.
+        is_acknowledgement = self._body_sent and data in (ADMITTED, QUEUED)
+        if self._stream is not None and not (is_acknowledgement and data == QUEUED):
+            # Later data may be part of an answer, even if its bytes equal an acknowledgement.
             self._stream.channel.watch_data(None)
-        return is_sign
+        return is_acknowledgement
 
     async def _open(self) -> NotRun | None:
-        """Get a stream to the daemon; `abort` ends the wait for it."""
+        """Take or open a stream to the daemon; `abort` cancels the wait."""
         if not self._is_aborted:
             self._stream = self._pool.take_idle(self._address)
             if self._stream is not None:
                 return None
             with anyio.CancelScope() as scope:
-                self._opening = scope
+                self._open_scope = scope
                 try:
                     self._stream = await self._pool.open(self._address)
                 except StreamLostError as error:
                     reason = f"the daemon of the target is not there: {error}"
-                    return NotRun(reason, _ABSENT_RETRY_AFTER)
+                    return NotRun(reason, _UNREACHABLE_RETRY_SECONDS)
                 finally:
-                    self._opening = None
+                    self._open_scope = None
         if self._is_aborted:
-            return NotRun("the call was given up before it was sent", _ABSENT_RETRY_AFTER)
+            return NotRun("the call was given up before it was sent", _UNREACHABLE_RETRY_SECONDS)
         return None
 
-    async def _commit(self) -> NotRun | None:
-        """Wait for the admission of a held call and send its body; the refusal instead."""
+    async def _send_held_body(self) -> NotRun | None:
+        """Send the body of a held call once it is admitted; return a refusal otherwise."""
         refusal = await self.wait_admitted()
         if refusal is not None:
             return refusal
         body = self._call.body
         try:
-            if len(body) > LARGEST_INLINE_BODY and not await self._send_as_asked(body):
-                return None  # the other daemon has said something else; `answer` tells
+            if len(body) > LARGEST_INLINE_BODY and not await self._send_on_request(body):
+                return None  # `answer` handles the unexpected message
             self._is_held = False
             if len(body) <= LARGEST_INLINE_BODY:
                 await self.send_part(body)
@@ -175,24 +175,24 @@
             if not self._is_held:
                 raise
             reason = f"the daemon of the target was lost before it had the body: {error}"
-            return NotRun(reason, _ABSENT_RETRY_AFTER)
+            return NotRun(reason, _UNREACHABLE_RETRY_SECONDS)
         return None
 
-    async def _send_as_asked(self, body: bytes) -> bool:
-        """Send a body as the other daemon asks for it; false where it says something else."""
+    async def _send_on_request(self, body: bytes) -> bool:
+        """Send a body as it is requested; return false on any other message."""
         sent = 0
         while sent < len(body):
             message = await self._receive()
             if not isinstance(message, Ask):
-                self._early = message
+                self._pending_message = message
                 return False
             await self.send_part(body[sent : sent + message.size])
             sent += message.size
         return True
 
     async def _receive(self) -> object:
-        if self._early is not None:
-            message, self._early = self._early, None
+        if self._pending_message is not None:
+            message, self._pending_message = self._pending_message, None
             return message
         while True:
             if self._stream is None:
@@ -208,16 +208,16 @@
         except (StreamLostError, MessageError) as error:
             if self._is_held:
                 reason = f"the daemon of the target was lost before it took the call: {error}"
-                return NotRun(reason, _ABSENT_RETRY_AFTER)
-            return None  # `answer` tells
+                return NotRun(reason, _UNREACHABLE_RETRY_SECONDS)
+            return None  # `answer` reports the loss
         if isinstance(message, Admitted):
             return None
         if isinstance(message, Refused):
-            return self._refusal_of(message)
-        self._early = message
+            return self._to_not_run(message)
+        self._pending_message = message
         return None
 
-    def _refusal_of(self, refused: Refused) -> NotRun:
+    def _to_not_run(self, refused: Refused) -> NotRun:
         self._load = refused.load
         self._mean_seconds = refused.mean_seconds
         self._release(reuse=self._body_sent or self._is_held)
@@ -237,13 +237,13 @@
     async def finish(self, trailers: Headers) -> None:
         if self._stream is None:
             raise StreamLostError("the stream to the other daemon is closed")
-        await self._stream.send(Finish(flatten(trailers)))
+        await self._stream.send(Finish(flatten_headers(trailers)))
         self._body_sent = True
 
     async def answer(self) -> Answer | NotRun | OutcomeUnknown:
         try:
             if self._is_held:
-                refusal = await self._commit()
+                refusal = await self._send_held_body()
                 if refusal is not None:
                     return refusal
             message = await self._receive()
@@ -251,9 +251,9 @@
                 message = await self._receive()
             match message:
                 case AnswerHead() as head:
-                    return self._answer_of(head)
+                    return self._to_answer(head)
                 case Refused() as refused:
-                    return self._refusal_of(refused)
+                    return self._to_not_run(refused)
                 case Lost(reason, is_blamed):
                     self._release(reuse=self._body_sent)
                     return OutcomeUnknown(reason, is_blamed=is_blamed)
@@ -262,7 +262,7 @@
         except (StreamLostError, MessageError) as error:
             return OutcomeUnknown(f"the daemon of the target was lost: {error}")
 
-    def _answer_of(self, head: AnswerHead) -> Answer:
+    def _to_answer(self, head: AnswerHead) -> Answer:
         self._load = head.load
         self._mean_seconds = head.mean_seconds
         answer = Answer(
@@ -272,7 +272,7 @@
             is_whole=head.is_whole,
             length=head.length,
             ends_by_close=head.ends_by_close,
-            trailers=unflatten(head.trailers),
+            trailers=unflatten_headers(head.trailers),
             is_nested_failure=head.lacks_inner,
         )
         if head.is_whole:
@@ -286,7 +286,7 @@
                     return BodyPart(data)
                 case Finish(trailers):
                     self._release(reuse=self._body_sent)
-                    return End(unflatten(trailers))
+                    return End(unflatten_headers(trailers))
                 case Lost(reason):
                     raise StreamLostError(reason)
                 case other:
@@ -296,8 +296,8 @@
 
     def abort(self) -> None:
         self._is_aborted = True
-        if self._opening is not None:
-            self._opening.cancel()
+        if self._open_scope is not None:
+            self._open_scope.cancel()
         if self._stream is not None:
             self._stream.channel.abort()
 
@@ -315,6 +315,6 @@
             stream.channel.abort()
 
 
-def _budget(remaining: float) -> float:
-    """What the other daemon is given of the time that remains, so that its word comes in time."""
-    return remaining - min(_ANSWER_MARGIN, remaining * _ANSWER_SHARE)
+def _remote_budget(remaining: float) -> float:
+    """Return the budget of the other daemon, so that its answer arrives before the deadline."""
+    return remaining - min(_MAX_ANSWER_MARGIN_SECONDS, remaining * _MAX_ANSWER_MARGIN_SHARE)
--- a/packages/handover/src/acaciayard_handover/_server.py
+++ b/packages/handover/src/acaciayard_handover/_server.py
@@ -1,4 +1,4 @@
-"""Serves calls that other daemons hand over for the targets on this host."""
+"""Serves calls that other daemons forward to the targets on this host."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
     listen,
 )
 
-from ._body_window import window_for
+from ._body_window import window_for_link
 from ._messages import (
     ADMITTED,
     CALL_CODEC,
@@ -46,23 +46,23 @@
     Lost,
     Part,
     Refused,
-    flatten,
-    unflatten,
+    flatten_headers,
+    unflatten_headers,
 )
 
 __all__ = ["CallServer"]
 
-#: Seconds for which calls are refused after a pause: they lay in the sockets meanwhile, and their
-#: budget, told as a duration, was counted down by nobody.
-_REFUSE_AFTER_PAUSE: Final = 0.1
-#: Seconds for which a sender of a body may be still before others get its room on the link; at
-#: 2.5 Mbit/s what it was asked for takes 40 ms.
-_STALLED: Final = 0.5
-_PAUSED: Final = Refused("the daemon of the target stood still", 0.1, False, 1.0)
+#: Time for which calls are refused after a pause of the process: they waited in socket buffers
+#: meanwhile, and their budget, which is sent as a duration, does not account for that wait.
+_PAUSE_REFUSAL_SECONDS: Final = 0.1
+#: Time without data after which the bytes requested from a sender are released to other transfers;
+#: at 2.5 Mbit/s the requested bytes take 40 ms.
+_STALL_TIMEOUT_SECONDS: Final = 0.5
+_PAUSED_REFUSAL: Final = Refused("the daemon of the target stood still", 0.1, False, 1.0)
 
 
 class CallServer:
-    """Listens for other daemons; each of their streams has a task of its own."""
+    """Accepts streams from other daemons and serves each in its own task."""
 
     def __init__(
         self,
@@ -76,7 +76,7 @@
         link_mbps: float = 0.0,
     ) -> None:
         self._events = events
-        self._window = window_for(link_mbps)
+        self._window = window_for_link(link_mbps)
         self._dialect = dialect
         self._targets = targets
         self._timers = timers
@@ -91,17 +91,17 @@
 
     @property
     def port(self) -> int:
-        """Where it listens."""
+        """Port on which the server listens."""
         assert self._listener is not None, "the server does not listen yet"
         return self._listener.port
 
     @property
     def running(self) -> int:
-        """Calls that are being served."""
+        """Number of calls being served."""
         return self._running
 
     async def open(self, address: str, port: int, tasks: anyio.abc.TaskGroup) -> None:
-        """Listen; streams are served in `tasks`."""
+        """Start listening; streams are served in `tasks`."""
         self._tasks = tasks
         self._listener = await listen(
             address,
@@ -112,16 +112,16 @@
         )
 
     def close(self) -> None:
-        """Take no more streams; those that stand are served on."""
+        """Stop accepting streams; open streams are still served."""
         if self._listener is not None:
             self._listener.close()
 
     def _on_pause(self, _seconds: float) -> None:
         self._resumed_at = self._timers.now()
 
-    def _stood_still(self) -> bool:
+    def _resumed_recently(self) -> bool:
         self._pause.check()
-        return self._timers.now() - self._resumed_at < _REFUSE_AFTER_PAUSE
+        return self._timers.now() - self._resumed_at < _PAUSE_REFUSAL_SECONDS
 
     async def _serve(self, stream: ByteStream) -> None:
         await self._timers.account.run(ProcessorPart.TARGET, self._serve_stream, stream)
@@ -136,7 +136,7 @@
                 await self._serve_call(head, messages)
                 self._timers.account.begin(ProcessorPart.TARGET)
         except* (StreamLostError, MessageError):
-            pass  # the asking daemon is gone; there is nobody to tell
+            pass  # the calling daemon is gone, so no answer can be sent
         except* Exception as group:
             for error in group.exceptions:
                 self._events.connection_failed(error)
@@ -144,15 +144,15 @@
             stream.close()
 
     async def _serve_call(self, head: CallHead, messages: MessageStream) -> None:
-        if self._stood_still():
-            await messages.send(_PAUSED)
+        if self._resumed_recently():
+            await messages.send(_PAUSED_REFUSAL)
             if not (head.is_whole or head.is_held):
                 raise MessageError("the body of a refused call is not read")
             return
         self._running += 1
         if head.suspicion:
             self._targets.suspects.merge([Suspicion(head.fingerprint, *head.suspicion)])
-        call = self._call_of(head)
+        call = self._to_call(head)
         exchange = LocalExchange(
             call,
             targets=self._targets,
@@ -188,7 +188,7 @@
             expiry.cancel()
             messages.channel.watch_lost(None)
 
-    def _call_of(self, head: CallHead) -> Call:
+    def _to_call(self, head: CallHead) -> Call:
         return Call(
             service=head.service,
             method=head.method,
@@ -226,17 +226,17 @@
             await self._answer(exchange, messages, expiry)
             return
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self._pump_body, exchange, messages)
+            tasks.start_soon(self._forward_body, exchange, messages)
             await self._answer(exchange, messages, expiry)
 
     async def _run_held(
         self, exchange: LocalExchange, messages: MessageStream, expiry: Subscription
     ) -> None:
-        """Run a call whose body comes only once it is admitted.
+        """Run a call whose body is sent only after admission.
 
-        A large body takes a slot only when it is here.  Nothing reaches the target before the body
-        is whole here, so the daemon that asks may take the call elsewhere until it has sent the
-        last of it.
+        A call with a large body takes a slot only once the body has been received.  Nothing is sent
+        to the target before the body is complete, so the calling daemon may send the call to
+        another host until it has sent the end of the body.
         """
         is_large = exchange.call.length > LARGEST_INLINE_BODY
         refusal = exchange.reserve() if is_large else await exchange.enter()
@@ -244,7 +244,9 @@
             await self._refuse(refusal, exchange, messages)
             return
         messages.channel.send_nowait(ADMITTED)
-        body = await (self._ask_for_body if is_large else _receive_body)(exchange, messages)
+        body = await (self._receive_requested_body if is_large else _receive_pushed_body)(
+            exchange, messages
+        )
         exchange.hold(body)
         refusal = await exchange.enter() if is_large else None
         if refusal is not None:
@@ -256,8 +258,10 @@
             return
         await self._answer(exchange, messages, expiry)
 
-    async def _ask_for_body(self, exchange: LocalExchange, messages: MessageStream) -> bytes:
-        """Receive a large body as the link of this host takes it."""
+    async def _receive_requested_body(
+        self, exchange: LocalExchange, messages: MessageStream
+    ) -> bytes:
+        """Receive a large body in requested chunks, within the window of the host's link."""
         transfer = self._window.open(exchange.call.length)
 
         def on_lost() -> None:
@@ -268,18 +272,18 @@
         parts = []
         try:
             while True:
-                while size := transfer.try_ask():
+                while size := transfer.try_request():
                     messages.channel.send_nowait(CALL_CODEC.encode(Ask(size)))
-                if not transfer.coming and (size := await transfer.ask()):
+                if not transfer.in_flight and (size := await transfer.request()):
                     messages.channel.send_nowait(CALL_CODEC.encode(Ask(size)))
                 message = None
-                with self._timers.timeout(_STALLED):
+                with self._timers.timeout(_STALL_TIMEOUT_SECONDS):
                     message = await messages.receive()
                 match message:
                     case None:
-                        transfer.arrived(transfer.coming)  # room for others; it may still come
+                        transfer.record_received(transfer.in_flight)  # the data may still arrive
                     case Part(data):
-                        transfer.arrived(len(data))
+                        transfer.record_received(len(data))
                         parts.append(data)
                     case Finish():
                         return b"".join(parts)
@@ -290,19 +294,19 @@
             messages.channel.watch_lost(exchange.abort)
 
     @staticmethod
-    async def _pump_body(exchange: LocalExchange, messages: MessageStream) -> None:
+    async def _forward_body(exchange: LocalExchange, messages: MessageStream) -> None:
         while True:
             match await messages.receive():
                 case Part(data):
                     await exchange.send_part(data)
                 case Finish(trailers):
-                    await exchange.finish(unflatten(trailers))
+                    await exchange.finish(unflatten_headers(trailers))
                     return
                 case other:
                     raise MessageError(f"unexpected {type(other).__name__} in a body")
 
-    def _tell(self, exchange: LocalExchange, outcome: str, reason: str) -> None:
-        """Tell how a call that was handed over has ended."""
+    def _report_outcome(self, exchange: LocalExchange, outcome: str, reason: str) -> None:
+        """Emit an event with the outcome of a forwarded call."""
         call = exchange.call
         self._events.offer_ended(
             OfferEnded(
@@ -320,7 +324,7 @@
         self, refusal: NotRun, exchange: LocalExchange, messages: MessageStream
     ) -> None:
         self._timers.account.move(ProcessorPart.REFUSED)
-        self._tell(exchange, "not_run", refusal.reason)
+        self._report_outcome(exchange, "not_run", refusal.reason)
         await messages.send(
             Refused(
                 refusal.reason,
@@ -342,11 +346,11 @@
             case NotRun():
                 await self._refuse(answer, exchange, messages)
             case OutcomeUnknown(reason, is_blamed=is_blamed):
-                self._tell(exchange, "unknown", reason)
+                self._report_outcome(exchange, "unknown", reason)
                 await messages.send(Lost(reason, is_blamed))
             case Answer():
-                self._tell(exchange, "answered", "")
-                await messages.send(_head_of(answer, exchange))
+                self._report_outcome(exchange, "answered", "")
+                await messages.send(_to_answer_head(answer, exchange))
                 if not answer.is_whole:
                     await self._relay_body(exchange, messages)
 
@@ -362,12 +366,12 @@
                 case BodyPart(data):
                     await messages.send(Part(data))
                 case End(trailers):
-                    await messages.send(Finish(flatten(trailers)))
+                    await messages.send(Finish(flatten_headers(trailers)))
                     return
 
 
-async def _receive_body(_exchange: LocalExchange, messages: MessageStream) -> bytes:
-    """Receive a body that is sent without being asked for."""
+async def _receive_pushed_body(_exchange: LocalExchange, messages: MessageStream) -> bytes:
+    """Receive a body that is sent without requests."""
     parts = []
     while not isinstance(message := await messages.receive(), Finish):
         if not isinstance(message, Part):
@@ -376,7 +380,7 @@
     return b"".join(parts)
 
 
-def _head_of(answer: Answer, exchange: LocalExchange) -> AnswerHead:
+def _to_answer_head(answer: Answer, exchange: LocalExchange) -> AnswerHead:
     return AnswerHead(
         status=answer.status,
         fields=answer.fields,
@@ -384,7 +388,7 @@
         is_whole=answer.is_whole,
         length=answer.length,
         ends_by_close=answer.ends_by_close,
-        trailers=flatten(answer.trailers),
+        trailers=flatten_headers(answer.trailers),
         load=exchange.load,
         mean_seconds=exchange.mean_seconds,
         lacks_inner=answer.is_nested_failure,
